--- a/entry/internal/cli/routed.go
+++ b/entry/internal/cli/routed.go
@@ -20,9 +20,9 @@
 	"chervilrail.example/core/reloader"
 	"chervilrail.example/core/reporter"
 	"chervilrail.example/core/wire"
-	"chervilrail.example/entry/internal/asker"
 	"chervilrail.example/entry/internal/carrier"
 	"chervilrail.example/entry/internal/config"
+	"chervilrail.example/entry/internal/enforcer"
 	"chervilrail.example/entry/internal/locator"
 	"chervilrail.example/entry/internal/pooler"
 	"chervilrail.example/entry/internal/watcher"
@@ -47,7 +47,7 @@
 	watcher  *watcher.Watcher
 	carrier  *carrier.Carrier
 	locator  *locator.Locator
-	asker    *asker.Asker
+	asker    *enforcer.Asker
 	leaver   *leaver
 }
 
@@ -73,7 +73,7 @@
 	p.locator = &locator.Locator{
 		Self: settings.Name, Dialer: &dialer.Dialer{Plain: true}, Assigner: p.carrier, Logger: p.logger,
 	}
-	p.asker = &asker.Asker{
+	p.asker = &enforcer.Asker{
 		Self:        &wire.QuotaHolder{Name: settings.Name, Incarnation: rand.Uint64()},
 		Controllers: p.watcher, Peers: p.locator, Dialer: &dialer.Dialer{Plain: true}, Logger: p.logger,
 	}
--- a/entry/internal/asker/admit.go
+++ b/entry/internal/enforcer/admit.go
@@ -1,4 +1,4 @@
-package asker
+package enforcer
 
 import (
 	"context"
--- a/entry/internal/asker/asker.go
+++ b/entry/internal/enforcer/enforcer.go
@@ -1,6 +1,6 @@
-// Package asker is the service that decides on requests by their organisations' quotas, and asks the controllers for the
+// Package enforcer is the service that decides on requests by their organisations' quotas, and asks the controllers for the
 // parts of quotas that this instance needs.
-package asker
+package enforcer
 
 import (
 	"context"
