--- a/entry/internal/cli/routed.go
+++ b/entry/internal/cli/routed.go
@@ -47,7 +47,7 @@
 	watcher  *watcher.Watcher
 	carrier  *carrier.Carrier
 	locator  *locator.Locator
-	asker    *enforcer.Asker
+	asker    *enforcer.Enforcer
 	leaver   *leaver
 }
 
@@ -73,7 +73,7 @@
 	p.locator = &locator.Locator{
 		Self: settings.Name, Dialer: &dialer.Dialer{Plain: true}, Assigner: p.carrier, Logger: p.logger,
 	}
-	p.asker = &enforcer.Asker{
+	p.asker = &enforcer.Enforcer{
 		Self:        &wire.QuotaHolder{Name: settings.Name, Incarnation: rand.Uint64()},
 		Controllers: p.watcher, Peers: p.locator, Dialer: &dialer.Dialer{Plain: true}, Logger: p.logger,
 	}
--- a/entry/internal/enforcer/admit.go
+++ b/entry/internal/enforcer/admit.go
@@ -23,7 +23,7 @@
 
 // Admit decides on a request of an organisation, after a moment where its quota has room that is not held here. Start is
 // until when the request has to start to be on time.
-func (a *Asker) Admit(ctx context.Context, organisation string, start, deadline time.Time) quoter.Verdict {
+func (a *Enforcer) Admit(ctx context.Context, organisation string, start, deadline time.Time) quoter.Verdict {
 	now := time.Now()
 	until := now.Add(min(max(minPatience, start.Sub(now)), deadline.Sub(now)/patienceParts))
 	v := quoter.Verdict{Outcome: quoter.Unknown}
@@ -54,7 +54,7 @@
 }
 
 // owner is the instance that holds an organisation's part for requests that come here.
-func (a *Asker) owner(organisation string) locator.Peer {
+func (a *Enforcer) owner(organisation string) locator.Peer {
 	a.mu.Lock()
 	pooled, near := a.holder.Pooled(organisation), a.near
 	a.mu.Unlock()
@@ -65,7 +65,7 @@
 }
 
 // borrow has another instance count a request.
-func (a *Asker) borrow(ctx context.Context, owner locator.Peer, organisation string) quoter.Verdict {
+func (a *Enforcer) borrow(ctx context.Context, owner locator.Peer, organisation string) quoter.Verdict {
 	asked := time.Now()
 	r, err := a.Peers.Ask(ctx, owner, &wire.SpendRequest{Organisation: organisation})
 	now := time.Now()
@@ -93,7 +93,7 @@
 }
 
 // Spend implements locator.Spender.
-func (a *Asker) Spend(ctx context.Context, r *wire.SpendRequest) *wire.SpendResponse {
+func (a *Enforcer) Spend(ctx context.Context, r *wire.SpendRequest) *wire.SpendResponse {
 	now := time.Now()
 	if r.GetReturned() {
 		a.giveBack(now, r.GetOrganisation(), quoter.Verdict{At: now.Add(-time.Duration(r.GetAge()))})
@@ -115,7 +115,7 @@
 }
 
 // admit decides by the part that is held here, and waits for more until a time.
-func (a *Asker) admit(ctx context.Context, organisation string, until time.Time) quoter.Verdict {
+func (a *Enforcer) admit(ctx context.Context, organisation string, until time.Time) quoter.Verdict {
 	v, answered := a.take(time.Now(), organisation, quoter.Verdict{})
 	if v.Outcome != quoter.Lacking && v.Outcome != quoter.Unknown {
 		return v
@@ -135,7 +135,7 @@
 	return v
 }
 
-func (a *Asker) take(now time.Time, organisation string, last quoter.Verdict) (quoter.Verdict, <-chan struct{}) {
+func (a *Enforcer) take(now time.Time, organisation string, last quoter.Verdict) (quoter.Verdict, <-chan struct{}) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	v := a.holder.Take(now, organisation, last)
@@ -146,7 +146,7 @@
 }
 
 // Return takes back a request that was granted and has not run.
-func (a *Asker) Return(organisation string, v quoter.Verdict) {
+func (a *Enforcer) Return(organisation string, v quoter.Verdict) {
 	if v.At.IsZero() {
 		return
 	}
@@ -170,7 +170,7 @@
 	}
 }
 
-func (a *Asker) giveBack(now time.Time, organisation string, v quoter.Verdict) {
+func (a *Enforcer) giveBack(now time.Time, organisation string, v quoter.Verdict) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.holder.Return(now, organisation, v)
--- a/entry/internal/enforcer/enforcer.go
+++ b/entry/internal/enforcer/enforcer.go
@@ -47,8 +47,8 @@
 	Ask(ctx context.Context, owner locator.Peer, r *wire.SpendRequest) (*wire.SpendResponse, error)
 }
 
-// Asker is the service. Set the exported fields before Start.
-type Asker struct {
+// Enforcer is the service. Set the exported fields before Start.
+type Enforcer struct {
 	Self        *wire.QuotaHolder
 	Controllers Controllers
 	Peers       Peers
@@ -75,13 +75,13 @@
 }
 
 // Name implements kernel.Service.
-func (a *Asker) Name() string { return "ask" }
+func (a *Enforcer) Name() string { return "ask" }
 
 // Health implements kernel.Service.
-func (a *Asker) Health() error { return nil }
+func (a *Enforcer) Health() error { return nil }
 
 // Start begins to ask.
-func (a *Asker) Start(context.Context, kernel.Finder) error {
+func (a *Enforcer) Start(context.Context, kernel.Finder) error {
 	client, err := a.Dialer.Client()
 	if err != nil {
 		return err
@@ -96,7 +96,7 @@
 }
 
 // Stop ends asking.
-func (a *Asker) Stop(context.Context) error {
+func (a *Enforcer) Stop(context.Context) error {
 	if a.cancel != nil {
 		a.cancel()
 		<-a.done
@@ -106,7 +106,7 @@
 }
 
 // Follow takes the organisations of the plan in force and the entry instances that share their quotas.
-func (a *Asker) Follow(now time.Time, v *watcher.View) {
+func (a *Enforcer) Follow(now time.Time, v *watcher.View) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.plan != v.Table.Plan {
@@ -125,14 +125,14 @@
 // keyOf tells an organisation from the objects that instances answer for.
 func keyOf(organisation string) uint64 { return placer.ObjectOf("organisation/" + organisation) }
 
-func (a *Asker) nudge() {
+func (a *Enforcer) nudge() {
 	select {
 	case a.wake <- struct{}{}:
 	default:
 	}
 }
 
-func (a *Asker) run(ctx context.Context) {
+func (a *Enforcer) run(ctx context.Context) {
 	defer close(a.done)
 	ticker := time.NewTicker(lookEvery)
 	defer ticker.Stop()
@@ -165,7 +165,7 @@
 }
 
 // due reports whether there is something to ask for.
-func (a *Asker) due() bool {
+func (a *Enforcer) due() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.holder.Wants() || a.holder.Stale(time.Now())
@@ -182,7 +182,7 @@
 )
 
 // ask makes one call.
-func (a *Asker) ask(ctx context.Context) ending {
+func (a *Enforcer) ask(ctx context.Context) ending {
 	at, ok := a.Controllers.Controller()
 	if !ok {
 		return failed
@@ -214,7 +214,7 @@
 }
 
 // note logs where answers cease and where they come back.
-func (a *Asker) note(at netip.AddrPort, err error) {
+func (a *Enforcer) note(at netip.AddrPort, err error) {
 	if (err != nil) == a.failing {
 		return
 	}
--- a/entry/internal/enforcer/enforcer_test.go
+++ b/entry/internal/enforcer/enforcer_test.go
@@ -59,7 +59,7 @@
 type region struct {
 	controller *controller
 	address    netip.AddrPort
-	askers     map[string]*Asker
+	askers     map[string]*Enforcer
 	mu         sync.Mutex
 	dead       map[string]bool
 	peers      []locator.Peer
@@ -107,7 +107,7 @@
 	t.Cleanup(server.Close)
 	r := &region{
 		controller: c, address: netip.MustParseAddrPort(strings.TrimPrefix(server.URL, "http://")),
-		askers: map[string]*Asker{}, dead: map[string]bool{},
+		askers: map[string]*Enforcer{}, dead: map[string]bool{},
 	}
 	var listed []*wire.QuotaHolder
 	for _, name := range peers {
@@ -116,7 +116,7 @@
 	}
 	c.allotter.Follow(plan(), listed, []string{"acme"})
 	for i, name := range peers {
-		a := &Asker{
+		a := &Enforcer{
 			Self: listed[i], Controllers: r, Peers: r, Dialer: &dialer.Dialer{Plain: true}, Logger: log.NewNopLogger(),
 		}
 		r.askers[name] = a
