--- a/entry/internal/cli/routed.go
+++ b/entry/internal/cli/routed.go
@@ -86,7 +86,7 @@
 
 // follow puts a new view in force.
 func (p *routed) follow(v *watcher.View) {
-	p.asker.Follow(time.Now(), v)
+	p.asker.Update(time.Now(), v)
 	p.carrier.Follow(v)
 }
 
--- a/entry/internal/enforcer/enforcer.go
+++ b/entry/internal/enforcer/enforcer.go
@@ -105,8 +105,8 @@
 	return nil
 }
 
-// Follow takes the organisations of the plan in force and the entry instances that share their quotas.
-func (a *Enforcer) Follow(now time.Time, v *watcher.View) {
+// Update takes the organisations of the plan in force and the entry instances that share their quotas.
+func (a *Enforcer) Update(now time.Time, v *watcher.View) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.plan != v.Table.Plan {
--- a/entry/internal/enforcer/enforcer_test.go
+++ b/entry/internal/enforcer/enforcer_test.go
@@ -126,7 +126,7 @@
 		}
 		is.New(t).NoErr(a.Start(context.Background(), nil))
 		t.Cleanup(func() { is.New(t).NoErr(a.Stop(context.Background())) })
-		a.Follow(time.Now(), r.view(plan()))
+		a.Update(time.Now(), r.view(plan()))
 	}
 	return r
 }
@@ -174,7 +174,7 @@
 	r := begin(t, "a", "b")
 	older := plan()
 	older.Organisations = nil
-	r.askers["a"].Follow(time.Now(), r.view(older))
+	r.askers["a"].Update(time.Now(), r.view(older))
 	v := r.admit("b")
 	is.True(v.Outcome != quoter.Granted)
 }
@@ -211,7 +211,7 @@
 	r := begin(t, "a", "b")
 	older := plan()
 	older.Organisations = nil
-	r.askers["a"].Follow(time.Now(), r.view(older))
+	r.askers["a"].Update(time.Now(), r.view(older))
 	const requests = 50
 	var waiting sync.WaitGroup
 	for range requests {
@@ -219,6 +219,6 @@
 	}
 	waiting.Wait()
 	is.True(r.asked.Load() < 2*requests)
-	r.askers["a"].Follow(time.Now(), r.view(plan()))
+	r.askers["a"].Update(time.Now(), r.view(plan()))
 	is.Equal(r.admit("b").Outcome, quoter.Granted)
 }
