--- a/core/quoter/allotter.go
+++ b/core/quoter/allotter.go
@@ -34,8 +34,8 @@
 	Since time.Time
 	// Lease is how long parts hold, counted by the holder from when it asked.
 	Lease time.Duration
-	// Distrust is how long nothing is allotted after the process stood still: another leader makes itself known by then.
-	Distrust time.Duration
+	// Holdoff is how long nothing is allotted after the process stood still: another leader makes itself known by then.
+	Holdoff time.Duration
 
 	quotas map[string]*quota
 	listed map[id]*holder
--- a/core/quoter/ends.go
+++ b/core/quoter/ends.go
@@ -52,7 +52,7 @@
 // compare notices a process that stood still: its steady clock did, too, and the time of day went on.
 func (a *Allotter) compare(now time.Time, steady, day time.Duration) {
 	if day-steady > stood {
-		a.distrusted = now.Add(a.Distrust)
+		a.distrusted = now.Add(a.Holdoff)
 	}
 }
 
