--- a/core/quoter/allotter.go
+++ b/core/quoter/allotter.go
@@ -30,8 +30,8 @@
 type Allotter struct {
 	Terms
 	// Term is that of the leader, Since when it was elected.
-	Term  uint64
-	Since time.Time
+	Term      uint64
+	ElectedAt time.Time
 	// Lease is how long parts hold, counted by the holder from when it asked.
 	Lease time.Duration
 	// Holdoff is how long nothing is allotted after the process stood still: another leader makes itself known by then.
@@ -96,7 +96,7 @@
 	for who := range present {
 		if _, ok := a.listed[who]; !ok {
 			a.listed[who] = &holder{parts: map[string]int64{}}
-			a.unknown[who] = a.mayHold(a.Since)
+			a.unknown[who] = a.mayHold(a.ElectedAt)
 		}
 	}
 	for who, h := range a.listed {
--- a/core/quoter/leased_test.go
+++ b/core/quoter/leased_test.go
@@ -93,7 +93,7 @@
 
 // elect makes a new leader that knows what is replicated and nothing else.
 func (l *leased) elect(now time.Time, term uint64) {
-	l.allotter = &Allotter{Terms: l.terms, Term: term, Since: now, Lease: testLease, Holdoff: time.Second}
+	l.allotter = &Allotter{Terms: l.terms, Term: term, ElectedAt: now, Lease: testLease, Holdoff: time.Second}
 	l.allotter.Follow(l.plan, l.listed, l.state.Stretched())
 }
 
