--- a/controller/internal/consenter/quotas.go
+++ b/controller/internal/consenter/quotas.go
@@ -50,7 +50,7 @@
 
 func (q *quotas) follow(plan *wire.Plan, holders []*wire.QuotaHolder, stretched []string) {
 	q.plan, q.holders, q.stretched = plan, holders, stretched
-	q.allotter.Follow(plan, holders, stretched)
+	q.allotter.Update(plan, holders, stretched)
 }
 
 // noticeQuotas follows the replicated state.
--- a/core/quoter/allotter.go
+++ b/core/quoter/allotter.go
@@ -75,8 +75,8 @@
 	over     bool
 }
 
-// Follow takes the organisations of the plan in force, the listed holders, oldest first, and the stretched organisations.
-func (a *Allotter) Follow(plan *wire.Plan, holders []*wire.QuotaHolder, stretched []string) {
+// Update takes the organisations of the plan in force, the listed holders, oldest first, and the stretched organisations.
+func (a *Allotter) Update(plan *wire.Plan, holders []*wire.QuotaHolder, stretched []string) {
 	if a.listed == nil {
 		a.listed, a.unknown = map[id]*holder{}, map[id]time.Time{}
 		a.fresh, a.stretching, a.relaxing = map[string]bool{}, map[string]bool{}, map[string]bool{}
--- a/core/quoter/leased_test.go
+++ b/core/quoter/leased_test.go
@@ -94,12 +94,12 @@
 // elect makes a new leader that knows what is replicated and nothing else.
 func (l *leased) elect(now time.Time, term uint64) {
 	l.allotter = &Allotter{Terms: l.terms, Term: term, ElectedAt: now, Lease: testLease, Holdoff: time.Second}
-	l.allotter.Follow(l.plan, l.listed, l.state.Stretched())
+	l.allotter.Update(l.plan, l.listed, l.state.Stretched())
 }
 
 func (l *leased) follow(now time.Time, plan *wire.Plan) {
 	l.plan = plan
-	l.allotter.Follow(plan, l.listed, l.state.Stretched())
+	l.allotter.Update(plan, l.listed, l.state.Stretched())
 	for _, s := range l.holders {
 		if !s.cut {
 			s.holder.Follow(now, plan)
@@ -114,7 +114,7 @@
 	}
 	change := &wire.StretchChange{Organisations: names, On: on}
 	changed := l.state.Apply(&wire.Command{Stretch: change}).GetChanged()
-	l.allotter.Follow(l.plan, l.listed, l.state.Stretched())
+	l.allotter.Update(l.plan, l.listed, l.state.Stretched())
 	l.allotter.Stretched(change, changed)
 }
 
@@ -205,6 +205,6 @@
 	}
 	s.busy, s.answer, s.waiting = false, nil, nil
 	l.listed = append(l.listed, s.holder.Self)
-	l.allotter.Follow(l.plan, l.listed, l.state.Stretched())
+	l.allotter.Update(l.plan, l.listed, l.state.Stretched())
 	l.allotter.New(s.holder.Self)
 }
--- a/core/quoter/quoter_test.go
+++ b/core/quoter/quoter_test.go
@@ -192,7 +192,7 @@
 	plan := &wire.Plan{Organisations: []*wire.Organisation{{Name: "o", Rate: &rate}}}
 	lost, here := &wire.QuotaHolder{Name: "lost", Incarnation: 1}, &wire.QuotaHolder{Name: "here", Incarnation: 1}
 	a := &Allotter{Terms: testTerms, Term: 1, ElectedAt: begun, Lease: testLease, Holdoff: time.Second}
-	a.Follow(plan, []*wire.QuotaHolder{lost, here}, nil)
+	a.Update(plan, []*wire.QuotaHolder{lost, here}, nil)
 	ask := func(sequence uint64) int64 {
 		response, err := a.Allot(begun, &wire.AllotRequest{
 			Holder: here, Sequence: sequence, Whole: true, Parts: []*wire.Part{{Organisation: "o", Wanted: 1}},
@@ -203,13 +203,13 @@
 	is.Equal(ask(1), int64(0))
 	is.Equal(a.Stretching(), []string{"o"})
 	change := &wire.StretchChange{Organisations: []string{"o"}, On: true}
-	a.Follow(plan, []*wire.QuotaHolder{lost, here}, []string{"o"})
+	a.Update(plan, []*wire.QuotaHolder{lost, here}, []string{"o"})
 	a.Stretched(change, []string{"o"})
 	a.Stretched(change, nil)
 	is.Equal(ask(2), int64(1))
 	// Another leader does not know how much of the rest was given out.
 	other := &Allotter{Terms: testTerms, Term: 2, ElectedAt: begun, Lease: testLease, Holdoff: time.Second}
-	other.Follow(plan, []*wire.QuotaHolder{lost, here}, []string{"o"})
+	other.Update(plan, []*wire.QuotaHolder{lost, here}, []string{"o"})
 	other.Stretched(change, nil)
 	a = other
 	is.Equal(ask(3), int64(0))
@@ -224,7 +224,7 @@
 	limit, _ := testTerms.limit(plan.GetOrganisations()[0])
 	who := []*wire.QuotaHolder{{Name: "e", Incarnation: 1}}
 	a := &Allotter{Terms: testTerms, Term: 1, ElectedAt: begun, Lease: testLease, Holdoff: time.Second}
-	a.Follow(plan, who, []string{"o"})
+	a.Update(plan, who, []string{"o"})
 	ask := func(sequence uint64, wanted int64) int64 {
 		response, err := a.Allot(begun, &wire.AllotRequest{
 			Holder: who[0], Sequence: sequence, Whole: true, Parts: []*wire.Part{{Organisation: "o", Wanted: wanted}},
@@ -298,7 +298,7 @@
 	limit, _ := testTerms.limit(organisation)
 	a := &Allotter{Terms: testTerms, Term: 1, ElectedAt: begun, Lease: testLease, Holdoff: time.Second}
 	first, second := &wire.QuotaHolder{Name: "e", Incarnation: 1}, &wire.QuotaHolder{Name: "e", Incarnation: 2}
-	a.Follow(plan, []*wire.QuotaHolder{first}, []string{"o"})
+	a.Update(plan, []*wire.QuotaHolder{first}, []string{"o"})
 	ask := func(now time.Time, who *wire.QuotaHolder, sequence uint64, wanted int64) int64 {
 		response, err := a.Allot(now, &wire.AllotRequest{
 			Holder: who, Sequence: sequence, Whole: true, Parts: []*wire.Part{{Organisation: "o", Wanted: wanted}},
@@ -307,7 +307,7 @@
 		return response.GetAllotments()[0].GetHeld()
 	}
 	is.Equal(ask(begun, first, 1, limit), limit)
-	a.Follow(plan, []*wire.QuotaHolder{first, second}, []string{"o"})
+	a.Update(plan, []*wire.QuotaHolder{first, second}, []string{"o"})
 	now := begun.Add(time.Second)
 	is.Equal(ask(now, second, 1, limit), int64(0))
 	is.Equal(ask(now.Add(testTerms.Window-time.Second), second, 2, limit), int64(0))
@@ -322,7 +322,7 @@
 	is := is.New(t)
 	a := &Allotter{Terms: testTerms, Term: 1, ElectedAt: begun, Lease: testLease, Holdoff: time.Second}
 	who := &wire.QuotaHolder{Name: "e", Incarnation: 1}
-	a.Follow(&wire.Plan{}, []*wire.QuotaHolder{who}, nil)
+	a.Update(&wire.Plan{}, []*wire.QuotaHolder{who}, nil)
 	a.compare(begun, time.Millisecond, 3*time.Second)
 	_, err := a.Allot(begun, &wire.AllotRequest{Holder: who, Sequence: 1, Whole: true})
 	var suspended *SuspendedError
--- a/entry/internal/enforcer/enforcer_test.go
+++ b/entry/internal/enforcer/enforcer_test.go
@@ -114,7 +114,7 @@
 		r.peers = append(r.peers, locator.Peer{Name: name})
 		listed = append(listed, &wire.QuotaHolder{Name: name, Incarnation: 1})
 	}
-	c.allotter.Follow(plan(), listed, []string{"acme"})
+	c.allotter.Update(plan(), listed, []string{"acme"})
 	for i, name := range peers {
 		a := &Enforcer{
 			Self: listed[i], Controllers: r, Peers: r, Dialer: &dialer.Dialer{Plain: true}, Logger: log.NewNopLogger(),
