--- a/core/quoter/holder.go
+++ b/core/quoter/holder.go
@@ -80,8 +80,8 @@
 	return ok && p.pooled
 }
 
-// Follow takes the organisations of a plan. Where a quota is lowered, this holder's part is lowered alike at once.
-func (h *Holder) Follow(now time.Time, plan *wire.Plan) {
+// Update takes the organisations of a plan. Where a quota is lowered, this holder's part is lowered alike at once.
+func (h *Holder) Update(now time.Time, plan *wire.Plan) {
 	if h.origin.IsZero() {
 		h.origin = now.Add(-time.Second)
 	}
--- a/core/quoter/leased_test.go
+++ b/core/quoter/leased_test.go
@@ -84,7 +84,7 @@
 	for i := range instances {
 		l.listed = append(l.listed, &wire.QuotaHolder{Name: organisationName(i), Incarnation: 1})
 		s := &seat{holder: Holder{Self: l.listed[i], Started: now.Add(-time.Minute)}}
-		s.holder.Follow(now, l.plan)
+		s.holder.Update(now, l.plan)
 		l.holders = append(l.holders, s)
 	}
 	l.elect(now, 1)
@@ -102,7 +102,7 @@
 	l.allotter.Update(plan, l.listed, l.state.Stretched())
 	for _, s := range l.holders {
 		if !s.cut {
-			s.holder.Follow(now, plan)
+			s.holder.Update(now, plan)
 		}
 	}
 }
@@ -199,7 +199,7 @@
 	s.holder = Holder{Started: now, Self: &wire.QuotaHolder{
 		Name: s.holder.Self.GetName(), Incarnation: s.holder.Self.GetIncarnation() + 1,
 	}}
-	s.holder.Follow(now, l.plan)
+	s.holder.Update(now, l.plan)
 	if l.regions > 0 {
 		s.holder.Share(l.fleet(slices.Index(l.holders, s)))
 	}
--- a/core/quoter/quoter_test.go
+++ b/core/quoter/quoter_test.go
@@ -337,7 +337,7 @@
 	rate := 1.0
 	plan := &wire.Plan{Organisations: []*wire.Organisation{{Name: "o", Rate: &rate}}}
 	h := Holder{Self: &wire.QuotaHolder{Name: "e"}}
-	h.Follow(begun, plan)
+	h.Update(begun, plan)
 	r := h.Request(begun)
 	h.Answer(begun, begun, &wire.AllotResponse{
 		Term: 1, Lease: int64(testLease), Window: int64(5 * time.Second),
@@ -357,7 +357,7 @@
 	is := is.New(t)
 	rate := 10.0
 	h := Holder{Self: &wire.QuotaHolder{Name: "e"}}
-	h.Follow(begun, &wire.Plan{Organisations: []*wire.Organisation{{Name: "o", Rate: &rate}}})
+	h.Update(begun, &wire.Plan{Organisations: []*wire.Organisation{{Name: "o", Rate: &rate}}})
 	answer := &wire.AllotResponse{
 		Term: 1, Lease: int64(testLease), Window: int64(5 * time.Second), Allotments: []*wire.Allotment{{Organisation: "o"}},
 	}
@@ -376,7 +376,7 @@
 func BenchmarkTake(b *testing.B) {
 	rate := 1e9
 	h := Holder{Self: &wire.QuotaHolder{Name: "e"}}
-	h.Follow(begun, &wire.Plan{Organisations: []*wire.Organisation{{Name: "o", Rate: &rate}}})
+	h.Update(begun, &wire.Plan{Organisations: []*wire.Organisation{{Name: "o", Rate: &rate}}})
 	h.Request(begun)
 	h.Answer(begun, begun, &wire.AllotResponse{
 		Term: 1, Lease: int64(time.Hour), Window: int64(5 * time.Second),
--- a/entry/internal/enforcer/enforcer.go
+++ b/entry/internal/enforcer/enforcer.go
@@ -111,7 +111,7 @@
 	defer a.mu.Unlock()
 	if a.plan != v.Table.Plan {
 		a.plan = v.Table.Plan
-		a.holder.Follow(now, a.plan)
+		a.holder.Update(now, a.plan)
 	}
 	if a.entries != v.Entries || !slices.Equal(a.near, v.Peers) {
 		a.entries, a.near = v.Entries, v.Peers
