--- a/controller/internal/consenter/quotas.go
+++ b/controller/internal/consenter/quotas.go
@@ -142,7 +142,7 @@
 	}
 	c.noticeQuotas(now)
 	if !change.GetGone() && term == c.replica.Term() {
-		q.allotter.New(change.GetHolder())
+		q.allotter.MarkNew(change.GetHolder())
 	}
 	_ = level.Info(c.Logger).Log("msg", "holder of quotas", "holder", change.GetHolder().GetName(),
 		"incarnation", change.GetHolder().GetIncarnation(), "gone", change.GetGone(), "holders", len(q.holders))
--- a/core/quoter/ends.go
+++ b/core/quoter/ends.go
@@ -14,8 +14,10 @@
 	endEvery = 100 * time.Millisecond
 )
 
-// New tells that a holder was listed by this leader: nobody else can have given it any part.
-func (a *Allotter) New(h *wire.QuotaHolder) { delete(a.unknown, id{h.GetName(), h.GetIncarnation()}) }
+// MarkNew tells that a holder was listed by this leader: nobody else can have given it any part.
+func (a *Allotter) MarkNew(h *wire.QuotaHolder) {
+	delete(a.unknown, id{h.GetName(), h.GetIncarnation()})
+}
 
 // Gone returns listed holders that another run of their name has followed, or that were not heard for long, and that hold
 // nothing any more.
--- a/core/quoter/leased_test.go
+++ b/core/quoter/leased_test.go
@@ -206,5 +206,5 @@
 	s.busy, s.answer, s.waiting = false, nil, nil
 	l.listed = append(l.listed, s.holder.Self)
 	l.allotter.Update(l.plan, l.listed, l.state.Stretched())
-	l.allotter.New(s.holder.Self)
+	l.allotter.MarkNew(s.holder.Self)
 }
--- a/entry/internal/enforcer/enforcer_test.go
+++ b/entry/internal/enforcer/enforcer_test.go
@@ -120,7 +120,7 @@
 			Self: listed[i], Controllers: r, Peers: r, Dialer: &dialer.Dialer{Plain: true}, Logger: log.NewNopLogger(),
 		}
 		r.askers[name] = a
-		c.allotter.New(listed[i])
+		c.allotter.MarkNew(listed[i])
 		if name == "frozen" {
 			continue
 		}
