--- a/controller/internal/consenter/quotas.go
+++ b/controller/internal/consenter/quotas.go
@@ -82,7 +82,7 @@
 		return
 	}
 	q.pruneAt = now.Add(pruneEvery)
-	for _, h := range q.allotter.Gone(now) {
+	for _, h := range q.allotter.Expired(now) {
 		c.proposeOwn(&wire.Command{Holder: &wire.HolderChange{Holder: h, Gone: true}})
 	}
 	if names := q.allotter.Relaxing(); len(names) > 0 {
--- a/core/quoter/ends.go
+++ b/core/quoter/ends.go
@@ -19,9 +19,9 @@
 	delete(a.unknown, id{h.GetName(), h.GetIncarnation()})
 }
 
-// Gone returns listed holders that another run of their name has followed, or that were not heard for long, and that hold
+// Expired returns listed holders that another run of their name has followed, or that were not heard for long, and that hold
 // nothing any more.
-func (a *Allotter) Gone(now time.Time) []*wire.QuotaHolder {
+func (a *Allotter) Expired(now time.Time) []*wire.QuotaHolder {
 	a.look(now)
 	var out []*wire.QuotaHolder
 	for who, h := range a.listed {
--- a/core/quoter/quoter_test.go
+++ b/core/quoter/quoter_test.go
@@ -312,7 +312,7 @@
 	is.Equal(ask(now, second, 1, limit), int64(0))
 	is.Equal(ask(now.Add(testTerms.Window-time.Second), second, 2, limit), int64(0))
 	is.Equal(ask(now.Add(testTerms.Window+time.Second), second, 3, limit), limit)
-	gone := a.Gone(now.Add(testTerms.Window + 2*time.Second))
+	gone := a.Expired(now.Add(testTerms.Window + 2*time.Second))
 	is.Equal(len(gone), 1)
 	is.Equal(gone[0].GetIncarnation(), uint64(1))
 }
