--- a/controller/internal/consenter/quotas.go
+++ b/controller/internal/consenter/quotas.go
@@ -74,7 +74,7 @@
 // tendQuotas proposes what has to be replicated before it may be relied on.
 func (c *Consenter) tendQuotas(now time.Time) {
 	q := &c.quotas
-	if names := q.allotter.Stretching(); len(names) > 0 && !now.Before(q.stretchAt) {
+	if names := q.allotter.ToStretch(); len(names) > 0 && !now.Before(q.stretchAt) {
 		q.stretchAt = now.Add(stretchEvery)
 		c.proposeOwn(&wire.Command{Stretch: &wire.StretchChange{Organisations: names, On: true}})
 	}
--- a/core/quoter/leased_test.go
+++ b/core/quoter/leased_test.go
@@ -136,7 +136,7 @@
 }
 
 func (l *leased) tick(now time.Time) {
-	l.stretch(l.allotter.Stretching(), true)
+	l.stretch(l.allotter.ToStretch(), true)
 	if now.Sub(l.relaxAt) > time.Second {
 		l.relaxAt = now
 		l.stretch(l.allotter.Relaxing(), false)
--- a/core/quoter/quoter_test.go
+++ b/core/quoter/quoter_test.go
@@ -201,7 +201,7 @@
 		return response.GetAllotments()[0].GetHeld()
 	}
 	is.Equal(ask(1), int64(0))
-	is.Equal(a.Stretching(), []string{"o"})
+	is.Equal(a.ToStretch(), []string{"o"})
 	change := &wire.StretchChange{Organisations: []string{"o"}, On: true}
 	a.Update(plan, []*wire.QuotaHolder{lost, here}, []string{"o"})
 	a.Stretched(change, []string{"o"})
--- a/core/quoter/stretch.go
+++ b/core/quoter/stretch.go
@@ -13,8 +13,8 @@
 // whole reports whether the parts of an organisation may add up to its whole quota.
 func (a *Allotter) whole(name string) bool { return a.stretched[name] && !a.relaxing[name] }
 
-// Stretching returns organisations whose parts have to be let add up to the whole quota, sorted.
-func (a *Allotter) Stretching() []string { return slices.Sorted(maps.Keys(a.stretching)) }
+// ToStretch returns organisations whose parts have to be let add up to the whole quota, sorted.
+func (a *Allotter) ToStretch() []string { return slices.Sorted(maps.Keys(a.stretching)) }
 
 // Relaxing returns organisations that need no more than the usual part again, sorted. From now on they get no more.
 func (a *Allotter) Relaxing() []string {
