--- a/controller/internal/consenter/quotas.go
+++ b/controller/internal/consenter/quotas.go
@@ -85,7 +85,7 @@
 	for _, h := range q.allotter.Expired(now) {
 		c.proposeOwn(&wire.Command{Holder: &wire.HolderChange{Holder: h, Gone: true}})
 	}
-	if names := q.allotter.Relaxing(); len(names) > 0 {
+	if names := q.allotter.ToRelax(); len(names) > 0 {
 		c.proposeOwn(&wire.Command{Stretch: &wire.StretchChange{Organisations: names}})
 	}
 }
--- a/core/quoter/leased_test.go
+++ b/core/quoter/leased_test.go
@@ -139,7 +139,7 @@
 	l.stretch(l.allotter.ToStretch(), true)
 	if now.Sub(l.relaxAt) > time.Second {
 		l.relaxAt = now
-		l.stretch(l.allotter.Relaxing(), false)
+		l.stretch(l.allotter.ToRelax(), false)
 	}
 	for _, s := range l.holders {
 		l.call(now, s)
--- a/core/quoter/quoter_test.go
+++ b/core/quoter/quoter_test.go
@@ -234,7 +234,7 @@
 	}
 	is.Equal(ask(1, limit), limit)
 	is.Equal(ask(2, 1), int64(1))
-	is.Equal(a.Relaxing(), []string{"o"})
+	is.Equal(a.ToRelax(), []string{"o"})
 	a.Stretched(&wire.StretchChange{Organisations: []string{"o"}, On: true}, nil)
 	is.True(ask(3, limit) < limit)
 }
--- a/core/quoter/stretch.go
+++ b/core/quoter/stretch.go
@@ -16,8 +16,8 @@
 // ToStretch returns organisations whose parts have to be let add up to the whole quota, sorted.
 func (a *Allotter) ToStretch() []string { return slices.Sorted(maps.Keys(a.stretching)) }
 
-// Relaxing returns organisations that need no more than the usual part again, sorted. From now on they get no more.
-func (a *Allotter) Relaxing() []string {
+// ToRelax returns organisations that need no more than the usual part again, sorted. From now on they get no more.
+func (a *Allotter) ToRelax() []string {
 	if len(a.unknown) > 0 {
 		return nil
 	}
