--- a/controller/internal/consenter/quotas.go
+++ b/controller/internal/consenter/quotas.go
@@ -156,7 +156,7 @@
 	}
 	c.noticeQuotas(now)
 	if term == c.replica.Term() {
-		q.allotter.Stretched(change, changed)
+		q.allotter.ApplyStretch(change, changed)
 	}
 	_ = level.Info(c.Logger).Log("msg", "quotas stretched", "organisations", len(change.GetOrganisations()),
 		"on", change.GetOn(), "changed", len(changed), "stretched", len(q.stretched))
--- a/core/quoter/leased_test.go
+++ b/core/quoter/leased_test.go
@@ -115,7 +115,7 @@
 	change := &wire.StretchChange{Organisations: names, On: on}
 	changed := l.state.Apply(&wire.Command{Stretch: change}).GetChanged()
 	l.allotter.Update(l.plan, l.listed, l.state.Stretched())
-	l.allotter.Stretched(change, changed)
+	l.allotter.ApplyStretch(change, changed)
 }
 
 func organisationName(i int) string { return "e" + string(rune('a'+i%26)) + string(rune('a'+i/26)) }
--- a/core/quoter/quoter_test.go
+++ b/core/quoter/quoter_test.go
@@ -204,13 +204,13 @@
 	is.Equal(a.ToStretch(), []string{"o"})
 	change := &wire.StretchChange{Organisations: []string{"o"}, On: true}
 	a.Update(plan, []*wire.QuotaHolder{lost, here}, []string{"o"})
-	a.Stretched(change, []string{"o"})
-	a.Stretched(change, nil)
+	a.ApplyStretch(change, []string{"o"})
+	a.ApplyStretch(change, nil)
 	is.Equal(ask(2), int64(1))
 	// Another leader does not know how much of the rest was given out.
 	other := &Allotter{Terms: testTerms, Term: 2, ElectedAt: begun, Lease: testLease, Holdoff: time.Second}
 	other.Update(plan, []*wire.QuotaHolder{lost, here}, []string{"o"})
-	other.Stretched(change, nil)
+	other.ApplyStretch(change, nil)
 	a = other
 	is.Equal(ask(3), int64(0))
 }
@@ -235,7 +235,7 @@
 	is.Equal(ask(1, limit), limit)
 	is.Equal(ask(2, 1), int64(1))
 	is.Equal(a.ToRelax(), []string{"o"})
-	a.Stretched(&wire.StretchChange{Organisations: []string{"o"}, On: true}, nil)
+	a.ApplyStretch(&wire.StretchChange{Organisations: []string{"o"}, On: true}, nil)
 	is.True(ask(3, limit) < limit)
 }
 
--- a/core/quoter/stretch.go
+++ b/core/quoter/stretch.go
@@ -30,9 +30,9 @@
 	return slices.Sorted(maps.Keys(a.relaxing))
 }
 
-// Stretched tells that this leader has let the parts of organisations add up to their whole quotas, or ended that; changed
+// ApplyStretch tells that this leader has let the parts of organisations add up to their whole quotas, or ended that; changed
 // are those for which that was otherwise before.
-func (a *Allotter) Stretched(c *wire.StretchChange, changed []string) {
+func (a *Allotter) ApplyStretch(c *wire.StretchChange, changed []string) {
 	for _, name := range c.GetOrganisations() {
 		if c.GetOn() {
 			delete(a.stretching, name)
