--- a/controller/internal/consenter/apply.go
+++ b/controller/internal/consenter/apply.go
@@ -58,7 +58,7 @@
 	_ = level.Info(c.Logger).Log("msg", "role", "role", role, "term", c.replica.Term(),
 		"leader", c.replica.LeaderMember().GetName())
 	if role == replicator.Leader {
-		c.grants = granter.Granter{Lease: c.Lease, Since: now}
+		c.grants = granter.Granter{Lease: c.Lease, ElectedAt: now}
 		c.grants.SetLimits(c.limits)
 		c.roster.reset(now)
 		c.quotas.lead(c, now)
--- a/core/granter/granter.go
+++ b/core/granter/granter.go
@@ -24,8 +24,8 @@
 type Granter struct {
 	// Lease is how long a share may be used, counted by the holder from when it asked.
 	Lease time.Duration
-	// Since is when this leader was elected.
-	Since time.Time
+	// ElectedAt is when this leader was elected.
+	ElectedAt time.Time
 
 	limits  map[string]cataloguer.Limit
 	holders map[HolderID]*holder
@@ -114,7 +114,7 @@
 	// The former leader may have granted to holders that have not yet reported here. Until all that has
 	// ended, a holder keeps at most what it already has in force. Use that only still counts in its window
 	// is no such share: its lease may be long over.
-	if now.Before(g.Since.Add(g.grace())) {
+	if now.Before(g.ElectedAt.Add(g.grace())) {
 		amount = min(amount, s.held)
 	}
 	amount = max(0, amount)
--- a/core/granter/granter_test.go
+++ b/core/granter/granter_test.go
@@ -117,7 +117,7 @@
 	later := ask.Add(old.grace() + time.Millisecond)
 	settle(t, later, old, users[1:], 100)
 	is.Equal(users[1].Limit(later, resource), int64(100))
-	successor := &Granter{Lease: testLease, Since: later}
+	successor := &Granter{Lease: testLease, ElectedAt: later}
 	successor.SetLimits(limits)
 	grants, err := successor.Renew(later, users[0].id, sequence, holdings)
 	is.NoErr(err)
--- a/core/granter/schedule_test.go
+++ b/core/granter/schedule_test.go
@@ -96,7 +96,7 @@
 }
 
 func realLeader(since time.Time) server {
-	g := &Granter{Lease: testLease, Since: since}
+	g := &Granter{Lease: testLease, ElectedAt: since}
 	g.SetLimits([]cataloguer.Limit{{Resource: resource, Cap: testCap, Floor: 2}})
 	return g
 }
