--- a/core/granter/granter_test.go
+++ b/core/granter/granter_test.go
@@ -32,7 +32,7 @@
 	var out []*user
 	for _, name := range names {
 		u := &user{id: HolderID{name, 1}}
-		u.Watch(now, []string{resource})
+		u.SetResources(now, []string{resource})
 		out = append(out, u)
 	}
 	return out
--- a/core/granter/holder.go
+++ b/core/granter/holder.go
@@ -33,9 +33,9 @@
 // unlimited lets the demand window count without refusing.
 const unlimited = int64(1) << 62
 
-// Watch sets which resources are held; others are given up once their use has left the window. Dropped
+// SetResources sets which resources are held; others are given up once their use has left the window. Dropped
 // at once, a limit that a later change brings back would not count what was used just before.
-func (h *Holder) Watch(now time.Time, resources []string) {
+func (h *Holder) SetResources(now time.Time, resources []string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.shares == nil {
--- a/core/granter/schedule_test.go
+++ b/core/granter/schedule_test.go
@@ -89,7 +89,7 @@
 	s.leader = build(time.Time{})
 	for i := range 6 {
 		u := &user{id: HolderID{fmt.Sprintf("e%d", i), 1}}
-		u.Watch(s.now, []string{resource})
+		u.SetResources(s.now, []string{resource})
 		s.users = append(s.users, u)
 	}
 	return s
@@ -135,7 +135,7 @@
 func (s *stage) restart(u *user) {
 	s.serial++
 	*u = user{id: HolderID{u.id.Name, s.serial + 1}, demand: u.demand}
-	u.Watch(s.now, []string{resource})
+	u.SetResources(s.now, []string{resource})
 }
 
 func (s *stage) act(u *user) {
--- a/entry/internal/directory/heartbeat.go
+++ b/entry/internal/directory/heartbeat.go
@@ -175,5 +175,5 @@
 	for _, l := range limits {
 		names = append(names, l.Resource)
 	}
-	d.Holder.Watch(now, names)
+	d.Holder.SetResources(now, names)
 }
--- a/entry/internal/forwarder/pacer_test.go
+++ b/entry/internal/forwarder/pacer_test.go
@@ -19,7 +19,7 @@
 	is := is.New(t)
 	const share = 96 << 10
 	h := &granter.Holder{}
-	h.Watch(time.Now(), []string{"link:a:b", "link:b:a"})
+	h.SetResources(time.Now(), []string{"link:a:b", "link:b:a"})
 	sequence, _ := h.Request(time.Now())
 	is.True(h.Accept(time.Now(), sequence, time.Minute, []*wire.Grant{{Resource: "link:a:b", Share: share}}))
 	near, far := net.Pipe()
