--- a/core/granter/holder.go
+++ b/core/granter/holder.go
@@ -134,8 +134,8 @@
 	return p.window.Take(now, p.limit, n)
 }
 
-// Room returns how many units could be taken now.
-func (h *Holder) Room(now time.Time, resource string) int64 {
+// Available returns how many units could be taken now.
+func (h *Holder) Available(now time.Time, resource string) int64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	p, ok := h.shares[resource]
--- a/entry/internal/forwarder/pacer.go
+++ b/entry/internal/forwarder/pacer.go
@@ -72,5 +72,5 @@
 }
 
 func (c *pacedConn) allowed(now time.Time, resource string, n int64) bool {
-	return !c.bulk || c.holder.Room(now, resource) >= min(n+bulkReserve*chunk, c.holder.Limit(now, resource)/2)
+	return !c.bulk || c.holder.Available(now, resource) >= min(n+bulkReserve*chunk, c.holder.Limit(now, resource)/2)
 }
--- a/entry/internal/forwarder/pacer_test.go
+++ b/entry/internal/forwarder/pacer_test.go
@@ -32,5 +32,5 @@
 	got, err := io.ReadAll(far)
 	is.NoErr(err)
 	is.True(bytes.Equal(got, sent))
-	is.True(h.Room(time.Now(), "link:a:b") < share) // it went through the share
+	is.True(h.Available(time.Now(), "link:a:b") < share) // it went through the share
 }
