--- a/controller/internal/config/config.go
+++ b/controller/internal/config/config.go
@@ -59,7 +59,7 @@
 	Patience  time.Duration
 
 	// Quotas say how exact organisations' quotas have to be.
-	Quotas quoter.Terms
+	Quotas quoter.Tolerance
 
 	TokenFile    string
 	Token        string
@@ -134,7 +134,7 @@
 		c.Lease = d.Duration(s, "lease", defaultLease, minElection, maxElection)
 		c.Patience = d.Duration(s, "patience", defaultPatience, time.Second, time.Hour)
 	case "quota":
-		c.Quotas = quoter.Terms{
+		c.Quotas = quoter.Tolerance{
 			Window:  d.Duration(s, "window", defaultWindow, minWindow, time.Minute),
 			Overage: d.Real(s, "overage", 0, 0, 1),
 			Slack:   d.Real(s, "slack", 0, 0, maxSlack),
--- a/controller/internal/consenter/consenter.go
+++ b/controller/internal/consenter/consenter.go
@@ -48,7 +48,7 @@
 	Timing replicator.Timing
 	Lease  time.Duration
 	// Quotas say how exact organisations' quotas have to be.
-	Quotas quoter.Terms
+	Quotas quoter.Tolerance
 	Sender Sender
 	// Changed is called after the routing state has changed; it must not block.
 	Changed func()
--- a/controller/internal/consenter/quotas.go
+++ b/controller/internal/consenter/quotas.go
@@ -42,7 +42,7 @@
 // lead begins to allot anew.
 func (q *quotas) lead(c *Consenter, now time.Time) {
 	q.allotter = &quoter.Allotter{
-		Terms: c.Quotas, Term: c.replica.Term(), ElectedAt: now, Lease: quotaLease, Holdoff: c.Timing.Election,
+		Tolerance: c.Quotas, Term: c.replica.Term(), ElectedAt: now, Lease: quotaLease, Holdoff: c.Timing.Election,
 	}
 	q.listing = map[string]time.Time{}
 	q.follow(c.state.Plan(), c.state.Holders(), c.state.Stretched())
--- a/core/quoter/allotter.go
+++ b/core/quoter/allotter.go
@@ -28,7 +28,7 @@
 
 // Allotter is the giving side, owned by the leading controller. Set the exported fields before use.
 type Allotter struct {
-	Terms
+	Tolerance
 	// Term is that of the leader, Since when it was elected.
 	Term      uint64
 	ElectedAt time.Time
--- a/core/quoter/leased_test.go
+++ b/core/quoter/leased_test.go
@@ -22,7 +22,7 @@
 // leased shares quotas by parts that a leader gives out on demand.
 type leased struct {
 	plan     *wire.Plan
-	terms    Terms
+	terms    Tolerance
 	allotter *Allotter
 	holders  []*seat
 	listed   []*wire.QuotaHolder
@@ -79,7 +79,7 @@
 	last         Verdict
 }
 
-func newLeased(now time.Time, terms Terms, instances int, organisations []*wire.Organisation) *leased {
+func newLeased(now time.Time, terms Tolerance, instances int, organisations []*wire.Organisation) *leased {
 	l := &leased{terms: terms, plan: &wire.Plan{Organisations: organisations}, lose: func() bool { return false }}
 	for i := range instances {
 		l.listed = append(l.listed, &wire.QuotaHolder{Name: organisationName(i), Incarnation: 1})
@@ -93,7 +93,7 @@
 
 // elect makes a new leader that knows what is replicated and nothing else.
 func (l *leased) elect(now time.Time, term uint64) {
-	l.allotter = &Allotter{Terms: l.terms, Term: term, ElectedAt: now, Lease: testLease, Holdoff: time.Second}
+	l.allotter = &Allotter{Tolerance: l.terms, Term: term, ElectedAt: now, Lease: testLease, Holdoff: time.Second}
 	l.allotter.Update(l.plan, l.listed, l.state.Stretched())
 }
 
--- a/core/quoter/quoter.go
+++ b/core/quoter/quoter.go
@@ -27,8 +27,8 @@
 	driftParts = 50
 )
 
-// Terms say how exact quotas have to be.
-type Terms struct {
+// Tolerance say how exact quotas have to be.
+type Tolerance struct {
 	// Window is the span over which requests are counted; zero means that there are no quotas.
 	Window time.Duration
 	// Overage is the part by which a quota may be passed in a window, Slack how many requests come on top.
@@ -37,7 +37,7 @@
 }
 
 // limit is how many requests of an organisation may run in a window, 0 and false for any number.
-func (t Terms) limit(o *wire.Organisation) (int64, bool) {
+func (t Tolerance) limit(o *wire.Organisation) (int64, bool) {
 	if o.GetRate() == 0 || t.Window == 0 {
 		return 0, false
 	}
--- a/core/quoter/quoter_test.go
+++ b/core/quoter/quoter_test.go
@@ -18,7 +18,7 @@
 )
 
 var (
-	testTerms = Terms{Window: 5 * time.Second, Overage: 0.1, Slack: 20}
+	testTerms = Tolerance{Window: 5 * time.Second, Overage: 0.1, Slack: 20}
 	begun     = time.Unix(1000, 0)
 )
 
@@ -191,7 +191,7 @@
 	rate := 100.0
 	plan := &wire.Plan{Organisations: []*wire.Organisation{{Name: "o", Rate: &rate}}}
 	lost, here := &wire.QuotaHolder{Name: "lost", Incarnation: 1}, &wire.QuotaHolder{Name: "here", Incarnation: 1}
-	a := &Allotter{Terms: testTerms, Term: 1, ElectedAt: begun, Lease: testLease, Holdoff: time.Second}
+	a := &Allotter{Tolerance: testTerms, Term: 1, ElectedAt: begun, Lease: testLease, Holdoff: time.Second}
 	a.Update(plan, []*wire.QuotaHolder{lost, here}, nil)
 	ask := func(sequence uint64) int64 {
 		response, err := a.Allot(begun, &wire.AllotRequest{
@@ -208,7 +208,7 @@
 	a.ApplyStretch(change, nil)
 	is.Equal(ask(2), int64(1))
 	// Another leader does not know how much of the rest was given out.
-	other := &Allotter{Terms: testTerms, Term: 2, ElectedAt: begun, Lease: testLease, Holdoff: time.Second}
+	other := &Allotter{Tolerance: testTerms, Term: 2, ElectedAt: begun, Lease: testLease, Holdoff: time.Second}
 	other.Update(plan, []*wire.QuotaHolder{lost, here}, []string{"o"})
 	other.ApplyStretch(change, nil)
 	a = other
@@ -223,7 +223,7 @@
 	plan := &wire.Plan{Organisations: []*wire.Organisation{{Name: "o", Rate: &rate}}}
 	limit, _ := testTerms.limit(plan.GetOrganisations()[0])
 	who := []*wire.QuotaHolder{{Name: "e", Incarnation: 1}}
-	a := &Allotter{Terms: testTerms, Term: 1, ElectedAt: begun, Lease: testLease, Holdoff: time.Second}
+	a := &Allotter{Tolerance: testTerms, Term: 1, ElectedAt: begun, Lease: testLease, Holdoff: time.Second}
 	a.Update(plan, who, []string{"o"})
 	ask := func(sequence uint64, wanted int64) int64 {
 		response, err := a.Allot(begun, &wire.AllotRequest{
@@ -296,7 +296,7 @@
 	organisation := &wire.Organisation{Name: "o", Rate: &rate}
 	plan := &wire.Plan{Organisations: []*wire.Organisation{organisation}}
 	limit, _ := testTerms.limit(organisation)
-	a := &Allotter{Terms: testTerms, Term: 1, ElectedAt: begun, Lease: testLease, Holdoff: time.Second}
+	a := &Allotter{Tolerance: testTerms, Term: 1, ElectedAt: begun, Lease: testLease, Holdoff: time.Second}
 	first, second := &wire.QuotaHolder{Name: "e", Incarnation: 1}, &wire.QuotaHolder{Name: "e", Incarnation: 2}
 	a.Update(plan, []*wire.QuotaHolder{first}, []string{"o"})
 	ask := func(now time.Time, who *wire.QuotaHolder, sequence uint64, wanted int64) int64 {
@@ -320,7 +320,7 @@
 // Guards against a suspended leader that wakes after another one has taken over, and gives out parts for a moment.
 func TestAProcessThatStoodStillAllotsNothing(t *testing.T) {
 	is := is.New(t)
-	a := &Allotter{Terms: testTerms, Term: 1, ElectedAt: begun, Lease: testLease, Holdoff: time.Second}
+	a := &Allotter{Tolerance: testTerms, Term: 1, ElectedAt: begun, Lease: testLease, Holdoff: time.Second}
 	who := &wire.QuotaHolder{Name: "e", Incarnation: 1}
 	a.Update(&wire.Plan{}, []*wire.QuotaHolder{who}, nil)
 	a.compare(begun, time.Millisecond, 3*time.Second)
--- a/core/quoter/replay_test.go
+++ b/core/quoter/replay_test.go
@@ -22,7 +22,7 @@
 
 // world replays a load on entry instances in logical time.
 type world struct {
-	terms         Terms
+	terms         Tolerance
 	instances     int
 	organisations []*wire.Organisation
 	// demand is the part of its rate that an organisation asks for.
--- a/core/quoter/ways_test.go
+++ b/core/quoter/ways_test.go
@@ -14,7 +14,7 @@
 	parts []int64
 }
 
-func newFixed(now time.Time, terms Terms, instances int, organisations []*wire.Organisation) *fixed {
+func newFixed(now time.Time, terms Tolerance, instances int, organisations []*wire.Organisation) *fixed {
 	f := &fixed{}
 	for _, o := range organisations {
 		limit, _ := terms.limit(o)
@@ -50,7 +50,7 @@
 
 const newsEvery = 500 * time.Millisecond
 
-func newCounted(now time.Time, terms Terms, instances int, organisations []*wire.Organisation) *counted {
+func newCounted(now time.Time, terms Tolerance, instances int, organisations []*wire.Organisation) *counted {
 	c := &counted{nextAt: now, heardAt: make([]time.Time, instances), cut: func(int) bool { return false }}
 	for _, o := range organisations {
 		limit, _ := terms.limit(o)
--- a/entry/internal/enforcer/enforcer_test.go
+++ b/entry/internal/enforcer/enforcer_test.go
@@ -99,7 +99,7 @@
 func begin(t *testing.T, peers ...string) *region {
 	t.Helper()
 	c := &controller{allotter: quoter.Allotter{
-		Terms: quoter.Terms{Window: window}, Term: 1, ElectedAt: time.Now(), Lease: time.Minute, Holdoff: time.Second,
+		Tolerance: quoter.Tolerance{Window: window}, Term: 1, ElectedAt: time.Now(), Lease: time.Minute, Holdoff: time.Second,
 	}}
 	mux := http.NewServeMux()
 	mux.Handle(wireconnect.NewExchangeHandler(c))
