--- a/core/quoter/holder.go
+++ b/core/quoter/holder.go
@@ -115,12 +115,12 @@
 	out := Verdict{Held: p.held, Used: p.used.Used(now), Since: h.granted}
 	switch {
 	case !h.valid(now):
-		out.Outcome, out.Retry = Unknown, now.Add(unknownRetry)
+		out.Outcome, out.RetryAt = Unknown, now.Add(unknownRetry)
 	case p.used.Take(now, p.held, 1):
 		out.At = now
 		return out
 	case now.Before(p.shortUntil):
-		out.Outcome, out.Retry = Exceeded, p.room(now)
+		out.Outcome, out.RetryAt = Exceeded, p.room(now)
 		return out
 	default:
 		out.Outcome = Lacking
--- a/core/quoter/verdict.go
+++ b/core/quoter/verdict.go
@@ -34,8 +34,8 @@
 // Verdict is the decision on one request, with what decided it.
 type Verdict struct {
 	Outcome Outcome
-	// Retry is when there may be room, where the quota is used up.
-	Retry time.Time
+	// RetryAt is when there may be room, where the quota is used up.
+	RetryAt time.Time
 	// Held is this holder's part, Used what of it is used, Since the time of the request that the part was given for.
 	Held  int64
 	Used  int64
--- a/entry/internal/carrier/organisation.go
+++ b/entry/internal/carrier/organisation.go
@@ -55,7 +55,7 @@
 	_ = level.Info(c.Logger).Log("msg", "quota", "id", j.call.ID, "organisation", name, "outcome", j.quota.Outcome,
 		"rate", j.organisation.GetRate(), "burst", j.organisation.GetBurst(), "held", j.quota.Held, "used", j.quota.Used,
 		"age", j.quota.Age(time.Now()), "peer", j.quota.Peer)
-	status, retry := http.StatusTooManyRequests, j.quota.Retry
+	status, retry := http.StatusTooManyRequests, j.quota.RetryAt
 	if j.quota.Outcome != quoter.Exceeded {
 		status, retry = http.StatusServiceUnavailable, time.Now().Add(partsRetry)
 	}
--- a/entry/internal/carrier/organisation_test.go
+++ b/entry/internal/carrier/organisation_test.go
@@ -182,9 +182,9 @@
 		{"granted and failed", quoter.Verdict{}, signed(500), 500, 1, 0},
 		{"granted and broken off", quoter.Verdict{}, end{ending: pooler.Broken}, 502, 1, 0},
 		{"granted and not run", quoter.Verdict{}, unrunBy(503), 503, 2, 1},
-		{"exceeded", quoter.Verdict{Outcome: quoter.Exceeded, Retry: later}, signed(200), 429, 0, 0},
-		{"lacking", quoter.Verdict{Outcome: quoter.Lacking, Retry: later}, signed(200), 503, 0, 0},
-		{"unknown", quoter.Verdict{Outcome: quoter.Unknown, Retry: later}, signed(200), 503, 0, 0},
+		{"exceeded", quoter.Verdict{Outcome: quoter.Exceeded, RetryAt: later}, signed(200), 429, 0, 0},
+		{"lacking", quoter.Verdict{Outcome: quoter.Lacking, RetryAt: later}, signed(200), 503, 0, 0},
+		{"unknown", quoter.Verdict{Outcome: quoter.Unknown, RetryAt: later}, signed(200), 503, 0, 0},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
--- a/entry/internal/enforcer/admit.go
+++ b/entry/internal/enforcer/admit.go
@@ -74,7 +74,7 @@
 		return quoter.Verdict{Outcome: quoter.Unknown, Peer: owner.Name}
 	}
 	out := quoter.Verdict{
-		Outcome: quoter.Outcome(slices.Index(outcomes, r.GetOutcome())), Retry: now.Add(time.Duration(r.GetRetry())), Held: r.GetHeld(), Used: r.GetUsed(),
+		Outcome: quoter.Outcome(slices.Index(outcomes, r.GetOutcome())), RetryAt: now.Add(time.Duration(r.GetRetry())), Held: r.GetHeld(), Used: r.GetUsed(),
 		Since: now.Add(-time.Duration(r.GetAge())), Peer: owner.Name,
 	}
 	a.turns.done(now, asked, organisation, out.Outcome != quoter.Unknown)
@@ -108,8 +108,8 @@
 	}
 	v := a.admit(ctx, r.GetOrganisation(), now.Add(locator.SpendWithin))
 	out := &wire.SpendResponse{Outcome: outcomes[v.Outcome], Held: v.Held, Used: v.Used, Age: int64(v.Age(now))}
-	if !v.Retry.IsZero() {
-		out.Retry = int64(max(0, time.Until(v.Retry)))
+	if !v.RetryAt.IsZero() {
+		out.Retry = int64(max(0, time.Until(v.RetryAt)))
 	}
 	return out
 }
--- a/entry/internal/enforcer/enforcer_test.go
+++ b/entry/internal/enforcer/enforcer_test.go
@@ -154,7 +154,7 @@
 			continue
 		}
 		is.Equal(v.Outcome, quoter.Exceeded)
-		is.True(v.Retry.After(time.Now()))
+		is.True(v.RetryAt.After(time.Now()))
 	}
 	is.Equal(granted, 20) // four a second for five seconds
 }
