--- a/core/quoter/ends.go
+++ b/core/quoter/expiry.go
@@ -7,16 +7,16 @@
 )
 
 const (
-	// stood is how far the time of day may run ahead of the steady clock between two looks; more shows that the process
-	// stood still.
-	stood = 200 * time.Millisecond
-	// endEvery is how often holders that are gone are looked for.
-	endEvery = 100 * time.Millisecond
+	// suspensionThreshold is how far the time of day may run ahead of the steady clock between two looks; more shows that the process
+	// suspensionThreshold still.
+	suspensionThreshold = 200 * time.Millisecond
+	// expiryInterval is how often holders that are gone are looked for.
+	expiryInterval = 100 * time.Millisecond
 )
 
 // MarkNew tells that a holder was listed by this leader: nobody else can have given it any part.
 func (a *Allotter) MarkNew(h *wire.QuotaHolder) {
-	delete(a.unknown, id{h.GetName(), h.GetIncarnation()})
+	delete(a.unreported, holderID{h.GetName(), h.GetIncarnation()})
 }
 
 // Expired returns listed holders that another run of their name has followed, or that were not heard for long, and that hold
@@ -25,7 +25,7 @@
 	a.look(now)
 	var out []*wire.QuotaHolder
 	for who, h := range a.listed {
-		if h.over {
+		if h.expired {
 			out = append(out, &wire.QuotaHolder{Name: who.name, Incarnation: who.incarnation})
 		}
 	}
@@ -34,61 +34,61 @@
 
 // look notices that the process stood still, and ends the parts that can't be in use any more.
 func (a *Allotter) look(now time.Time) {
-	if !a.lookedAt.IsZero() {
-		a.compare(now, now.Sub(a.lookedAt), now.Round(0).Sub(a.lookedAt.Round(0)))
+	if !a.refreshedAt.IsZero() {
+		a.compare(now, now.Sub(a.refreshedAt), now.Round(0).Sub(a.refreshedAt.Round(0)))
 	}
-	a.lookedAt = now
-	if now.Before(a.endAt) {
+	a.refreshedAt = now
+	if now.Before(a.expireAt) {
 		return
 	}
-	a.endAt = now.Add(endEvery)
+	a.expireAt = now.Add(expiryInterval)
 	for who, h := range a.listed {
 		if until := a.heldUntil(now, who, h); !until.IsZero() && !now.Before(until) {
-			a.drop(h)
-			h.over = true
-			delete(a.unknown, who)
+			a.release(h)
+			h.expired = true
+			delete(a.unreported, who)
 		}
 	}
 }
 
 // compare notices a process that stood still: its steady clock did, too, and the time of day went on.
 func (a *Allotter) compare(now time.Time, steady, day time.Duration) {
-	if day-steady > stood {
-		a.distrusted = now.Add(a.Holdoff)
+	if day-steady > suspensionThreshold {
+		a.holdoffUntil = now.Add(a.Holdoff)
 	}
 }
 
 // heldUntil is until when a holder's parts may be in use, zero if it was listed and has not reported yet. One that another
 // run of its name has followed uses them no more, and what it let through leaves the window.
-func (a *Allotter) heldUntil(now time.Time, who id, h *holder) time.Time {
-	until, unknown := a.unknown[who]
+func (a *Allotter) heldUntil(now time.Time, who holderID, h *holderState) time.Time {
+	until, unknown := a.unreported[who]
 	if !unknown {
 		until = h.until
 	}
-	if a.latest[who.name] == who || h.followed {
+	if a.latest[who.name] == who || h.superseded {
 		return until
 	}
-	h.followed = true
+	h.superseded = true
 	if ended := now.Add(a.outlast()); until.IsZero() || ended.Before(until) {
 		until = ended
 	}
 	h.until = until
 	if unknown {
-		a.unknown[who] = until
+		a.unreported[who] = until
 	}
 	return until
 }
 
 // mayHold is until when parts may be in use that were renewed at a time.
 func (a *Allotter) mayHold(at time.Time) time.Time {
-	return at.Add(a.Lease + a.Lease/driftParts + a.outlast())
+	return at.Add(a.Lease + a.Lease/driftDivisor + a.outlast())
 }
 
 // outlast is how long what a holder let through counts after its end.
-func (a *Allotter) outlast() time.Duration { return a.Window + a.Window/driftParts }
+func (a *Allotter) outlast() time.Duration { return a.Window + a.Window/driftDivisor }
 
 // outrun ends the parts of earlier runs of a holder: its run has lasted so long already.
-func (a *Allotter) outrun(now time.Time, who id, age time.Duration) {
+func (a *Allotter) outrun(now time.Time, who holderID, age time.Duration) {
 	ended := now.Add(a.outlast() - max(0, age))
 	for other, h := range a.listed {
 		if other.name != who.name || other == who {
@@ -97,17 +97,17 @@
 		if ended.Before(h.until) {
 			h.until = ended
 		}
-		if unknown, ok := a.unknown[other]; ok && ended.Before(unknown) {
-			a.unknown[other] = ended
+		if unknown, ok := a.unreported[other]; ok && ended.Before(unknown) {
+			a.unreported[other] = ended
 		}
 	}
 }
 
-// awaits is how long it takes until the last holder is known or holds nothing, if that can be told: those that still run
+// unreportedWait is how long it takes until the last holder is known or holds nothing, if that can be told: those that still run
 // report sooner.
-func (a *Allotter) awaits(now time.Time) time.Duration {
+func (a *Allotter) unreportedWait(now time.Time) time.Duration {
 	longest := time.Duration(0)
-	for who, until := range a.unknown {
+	for who, until := range a.unreported {
 		if a.latest[who.name] != who {
 			longest = max(longest, until.Sub(now))
 		}
--- a/core/quoter/leased_test.go
+++ b/core/quoter/leased_test.go
@@ -41,14 +41,14 @@
 func (l *leased) pool(regions int) *leased {
 	l.regions = regions
 	for i, s := range l.holders {
-		s.holder.Share(l.fleet(i))
+		s.holder.SetFleet(l.fleet(i))
 	}
 	return l
 }
 
 func (l *leased) fleet(instance int) Fleet {
 	return Fleet{
-		All: len(l.holders), Near: len(l.holders) / l.regions,
+		Total: len(l.holders), InRegion: len(l.holders) / l.regions,
 		Owns: func(organisation string) bool { return l.owner(instance, organisation) == instance },
 	}
 }
@@ -151,11 +151,11 @@
 	if s.busy && !now.Before(s.backAt) {
 		s.busy = false
 		if s.answer != nil && !s.cut && !l.lose() {
-			s.holder.Answer(now, s.sentAt, s.answer)
+			s.holder.Accept(now, s.sentAt, s.answer)
 			l.wake(now, s, true)
 		}
 	}
-	if s.busy || now.Before(s.nextAt) || !s.holder.Wants() && !s.holder.Stale(now) {
+	if s.busy || now.Before(s.nextAt) || !s.holder.HasPending() && !s.holder.RenewalDue(now) {
 		return
 	}
 	s.request, s.busy, s.sentAt, s.backAt = s.holder.Request(now), true, now, now.Add(trip)
@@ -201,7 +201,7 @@
 	}}
 	s.holder.Update(now, l.plan)
 	if l.regions > 0 {
-		s.holder.Share(l.fleet(slices.Index(l.holders, s)))
+		s.holder.SetFleet(l.fleet(slices.Index(l.holders, s)))
 	}
 	s.busy, s.answer, s.waiting = false, nil, nil
 	l.listed = append(l.listed, s.holder.Self)
--- a/core/quoter/quoter.go
+++ b/core/quoter/quoter.go
@@ -21,10 +21,10 @@
 )
 
 const (
-	// margin is the part of a quota's tolerance that is used. The rest is for requests that are sent again.
-	margin = 0.9
-	// driftParts is the share of a lease given up to clocks that run at different rates: 1/50.
-	driftParts = 50
+	// toleranceFraction is the part of a quota's tolerance that is used. The rest is for requests that are sent again.
+	toleranceFraction = 0.9
+	// driftDivisor is the share of a lease given up to clocks that run at different rates: 1/50.
+	driftDivisor = 50
 )
 
 // Tolerance say how exact quotas have to be.
@@ -42,6 +42,6 @@
 		return 0, false
 	}
 	asked := o.GetRate()*t.Window.Seconds() + o.GetBurst()
-	limit := asked*(1+margin*t.Overage) + margin*t.Slack
+	limit := asked*(1+toleranceFraction*t.Overage) + toleranceFraction*t.Slack
 	return int64(math.Min(limit, math.MaxInt32)), true
 }
--- a/core/quoter/quoter_test.go
+++ b/core/quoter/quoter_test.go
@@ -339,7 +339,7 @@
 	h := Holder{Self: &wire.QuotaHolder{Name: "e"}}
 	h.Update(begun, plan)
 	r := h.Request(begun)
-	h.Answer(begun, begun, &wire.AllotResponse{
+	h.Accept(begun, begun, &wire.AllotResponse{
 		Term: 1, Lease: int64(testLease), Window: int64(5 * time.Second),
 		Allotments: []*wire.Allotment{{Organisation: r.GetParts()[0].GetOrganisation(), Held: 1}},
 	})
@@ -362,12 +362,12 @@
 		Term: 1, Lease: int64(testLease), Window: int64(5 * time.Second), Allotments: []*wire.Allotment{{Organisation: "o"}},
 	}
 	h.Request(begun)
-	h.Answer(begun, begun, answer)
+	h.Accept(begun, begun, answer)
 	h.Request(begun)
 	v := h.Take(begun, "o", Verdict{}) // while that one is on its way
 	is.Equal(v.Outcome, Lacking)
-	h.Answer(begun, begun, answer)
-	is.True(h.Wants())
+	h.Accept(begun, begun, answer)
+	is.True(h.HasPending())
 	h.Take(begun, "o", v)
 	is.Equal(h.Request(begun).GetParts()[0].GetWanted(), int64(1)) // and it counts once
 }
@@ -378,7 +378,7 @@
 	h := Holder{Self: &wire.QuotaHolder{Name: "e"}}
 	h.Update(begun, &wire.Plan{Organisations: []*wire.Organisation{{Name: "o", Rate: &rate}}})
 	h.Request(begun)
-	h.Answer(begun, begun, &wire.AllotResponse{
+	h.Accept(begun, begun, &wire.AllotResponse{
 		Term: 1, Lease: int64(time.Hour), Window: int64(5 * time.Second),
 		Allotments: []*wire.Allotment{{Organisation: "o", Held: math.MaxInt32}},
 	})
@@ -434,17 +434,17 @@
 // Each breaks one thing that keeps the sum; random schedules have to notice.
 func TestNaiveSharingPassesTheQuota(t *testing.T) {
 	for name, breaks := range map[string]func(l *leased){
-		"a new leader does not wait for the holders": func(l *leased) { clear(l.allotter.unknown) },
+		"a new leader does not wait for the holders": func(l *leased) { clear(l.allotter.unreported) },
 		"the rest is given out again by each leader": func(l *leased) {
 			for _, o := range l.plan.GetOrganisations() {
-				l.allotter.fresh[o.GetName()] = true
+				l.allotter.stretchedInTerm[o.GetName()] = true
 			}
 		},
 		"a run that was followed holds nothing": func(l *leased) {
 			for who, h := range l.allotter.listed {
 				if l.allotter.latest[who.name] != who {
-					l.allotter.drop(h)
-					delete(l.allotter.unknown, who)
+					l.allotter.release(h)
+					delete(l.allotter.unreported, who)
 				}
 			}
 		},
--- a/core/quoter/verdict.go
+++ b/core/quoter/verdict.go
@@ -37,21 +37,21 @@
 	// RetryAt is when there may be room, where the quota is used up.
 	RetryAt time.Time
 	// Held is this holder's part, Used what of it is used, Since the time of the request that the part was given for.
-	Held  int64
-	Used  int64
-	Since time.Time
-	// At is when the request was counted, zero if it was not.
-	At time.Time
+	Held      int64
+	Used      int64
+	RenewedAt time.Time
+	// CountedAt is when the request was counted, zero if it was not.
+	CountedAt time.Time
 	// Peer is the entry instance that decided, empty for this one.
 	Peer string
-	// asking is the sequence of the request that asks for it.
-	asking uint64
+	// requestedIn is the sequence of the request that asks for it.
+	requestedIn uint64
 }
 
 // Age is how old the part was that decided, zero if there was none.
 func (v Verdict) Age(now time.Time) time.Duration {
-	if v.Since.IsZero() {
+	if v.RenewedAt.IsZero() {
 		return 0
 	}
-	return now.Sub(v.Since)
+	return now.Sub(v.RenewedAt)
 }
--- a/entry/internal/enforcer/admit.go
+++ b/entry/internal/enforcer/admit.go
@@ -75,11 +75,11 @@
 	}
 	out := quoter.Verdict{
 		Outcome: quoter.Outcome(slices.Index(outcomes, r.GetOutcome())), RetryAt: now.Add(time.Duration(r.GetRetry())), Held: r.GetHeld(), Used: r.GetUsed(),
-		Since: now.Add(-time.Duration(r.GetAge())), Peer: owner.Name,
+		RenewedAt: now.Add(-time.Duration(r.GetAge())), Peer: owner.Name,
 	}
 	a.turns.done(now, asked, organisation, out.Outcome != quoter.Unknown)
 	if out.Outcome == quoter.Granted {
-		out.At = now
+		out.CountedAt = now
 	}
 	return out
 }
@@ -96,7 +96,7 @@
 func (a *Enforcer) Spend(ctx context.Context, r *wire.SpendRequest) *wire.SpendResponse {
 	now := time.Now()
 	if r.GetReturned() {
-		a.giveBack(now, r.GetOrganisation(), quoter.Verdict{At: now.Add(-time.Duration(r.GetAge()))})
+		a.giveBack(now, r.GetOrganisation(), quoter.Verdict{CountedAt: now.Add(-time.Duration(r.GetAge()))})
 		return &wire.SpendResponse{}
 	}
 	a.mu.Lock()
@@ -147,7 +147,7 @@
 
 // Return takes back a request that was granted and has not run.
 func (a *Enforcer) Return(organisation string, v quoter.Verdict) {
-	if v.At.IsZero() {
+	if v.CountedAt.IsZero() {
 		return
 	}
 	if v.Peer == "" {
@@ -161,7 +161,7 @@
 		// If the call fails, the request counts until it has left the window.
 		go func() {
 			_, err := a.Peers.Ask(context.Background(), near[at], &wire.SpendRequest{
-				Organisation: organisation, Returned: true, Age: int64(time.Since(v.At)),
+				Organisation: organisation, Returned: true, Age: int64(time.Since(v.CountedAt)),
 			})
 			if err != nil {
 				_ = level.Debug(a.Logger).Log("msg", "request not taken back", "organisation", organisation, "peer", v.Peer, "err", err)
--- a/entry/internal/enforcer/enforcer.go
+++ b/entry/internal/enforcer/enforcer.go
@@ -115,7 +115,7 @@
 	}
 	if a.entries != v.Entries || !slices.Equal(a.near, v.Peers) {
 		a.entries, a.near = v.Entries, v.Peers
-		a.holder.Share(quoter.Fleet{All: v.Entries, Near: len(v.Peers), Owns: func(organisation string) bool {
+		a.holder.SetFleet(quoter.Fleet{Total: v.Entries, InRegion: len(v.Peers), Owns: func(organisation string) bool {
 			return a.Peers.Owner(v.Peers, keyOf(organisation)).Name == a.Self.GetName()
 		}})
 	}
@@ -168,7 +168,7 @@
 func (a *Enforcer) due() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.holder.Wants() || a.holder.Stale(time.Now())
+	return a.holder.HasPending() || a.holder.RenewalDue(time.Now())
 }
 
 // ending is how a call ended.
@@ -199,7 +199,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if err == nil {
-		a.holder.Answer(time.Now(), sent, response.Msg)
+		a.holder.Accept(time.Now(), sent, response.Msg)
 	}
 	if err == nil && response.Msg.GetWhole() {
 		return incomplete
--- a/entry/internal/enforcer/enforcer_test.go
+++ b/entry/internal/enforcer/enforcer_test.go
@@ -186,7 +186,7 @@
 	for range 20 {
 		is.Equal(r.admit("a").Outcome, quoter.Granted)
 	}
-	last := quoter.Verdict{At: time.Now(), Peer: "a"}
+	last := quoter.Verdict{CountedAt: time.Now(), Peer: "a"}
 	r.askers["b"].Return("acme", last)
 	time.Sleep(50 * time.Millisecond)
 	is.Equal(r.admit("b").Outcome, quoter.Granted)
