--- a/core/quoter/allotter.go
+++ b/core/quoter/allotter.go
@@ -96,7 +96,7 @@
 	for who := range present {
 		if _, ok := a.listed[who]; !ok {
 			a.listed[who] = &holderState{parts: map[string]int64{}}
-			a.unreported[who] = a.mayHold(a.ElectedAt)
+			a.unreported[who] = a.inUseUntil(a.ElectedAt)
 		}
 	}
 	for who, h := range a.listed {
@@ -147,7 +147,7 @@
 
 // Allot answers one request of a holder.
 func (a *Allotter) Allot(now time.Time, r *wire.AllotRequest) (*wire.AllotResponse, error) {
-	a.look(now)
+	a.refresh(now)
 	if now.Before(a.holdoffUntil) {
 		return nil, &SuspendedError{}
 	}
@@ -168,9 +168,9 @@
 		return out, nil
 	}
 	if h.until.IsZero() {
-		a.outrun(now, who, time.Duration(r.GetAge()))
+		a.expireEarlierRuns(now, who, time.Duration(r.GetAge()))
 	}
-	h.until = a.mayHold(now)
+	h.until = a.inUseUntil(now)
 	a.recordReport(h, r)
 	delete(a.unreported, who)
 	for _, p := range r.GetParts() {
@@ -178,7 +178,7 @@
 			out.Allotments = append(out.Allotments, a.allotPart(now, h, q, p))
 		}
 	}
-	a.callBack(h, r, out)
+	a.appendTight(h, r, out)
 	return out, nil
 }
 
@@ -240,8 +240,8 @@
 	return float64(q.allotted) > tightFraction*float64(q.base())
 }
 
-// callBack tells a holder of its parts of tight quotas that it did not mention.
-func (a *Allotter) callBack(h *holderState, r *wire.AllotRequest, out *wire.AllotResponse) {
+// appendTight tells a holder of its parts of tight quotas that it did not mention.
+func (a *Allotter) appendTight(h *holderState, r *wire.AllotRequest, out *wire.AllotResponse) {
 	mentioned := map[string]bool{}
 	for _, p := range r.GetParts() {
 		mentioned[p.GetOrganisation()] = true
--- a/core/quoter/expiry.go
+++ b/core/quoter/expiry.go
@@ -22,7 +22,7 @@
 // Expired returns listed holders that another run of their name has followed, or that were not heard for long, and that hold
 // nothing any more.
 func (a *Allotter) Expired(now time.Time) []*wire.QuotaHolder {
-	a.look(now)
+	a.refresh(now)
 	var out []*wire.QuotaHolder
 	for who, h := range a.listed {
 		if h.expired {
@@ -32,10 +32,10 @@
 	return out
 }
 
-// look notices that the process stood still, and ends the parts that can't be in use any more.
-func (a *Allotter) look(now time.Time) {
+// refresh notices that the process stood still, and ends the parts that can't be in use any more.
+func (a *Allotter) refresh(now time.Time) {
 	if !a.refreshedAt.IsZero() {
-		a.compare(now, now.Sub(a.refreshedAt), now.Round(0).Sub(a.refreshedAt.Round(0)))
+		a.detectSuspension(now, now.Sub(a.refreshedAt), now.Round(0).Sub(a.refreshedAt.Round(0)))
 	}
 	a.refreshedAt = now
 	if now.Before(a.expireAt) {
@@ -51,9 +51,9 @@
 	}
 }
 
-// compare notices a process that stood still: its steady clock did, too, and the time of day went on.
-func (a *Allotter) compare(now time.Time, steady, day time.Duration) {
-	if day-steady > suspensionThreshold {
+// detectSuspension notices a process that stood still: its steady clock did, too, and the time of day went on.
+func (a *Allotter) detectSuspension(now time.Time, monotonic, wall time.Duration) {
+	if wall-monotonic > suspensionThreshold {
 		a.holdoffUntil = now.Add(a.Holdoff)
 	}
 }
@@ -61,35 +61,35 @@
 // heldUntil is until when a holder's parts may be in use, zero if it was listed and has not reported yet. One that another
 // run of its name has followed uses them no more, and what it let through leaves the window.
 func (a *Allotter) heldUntil(now time.Time, who holderID, h *holderState) time.Time {
-	until, unknown := a.unreported[who]
-	if !unknown {
+	until, unreported := a.unreported[who]
+	if !unreported {
 		until = h.until
 	}
 	if a.latest[who.name] == who || h.superseded {
 		return until
 	}
 	h.superseded = true
-	if ended := now.Add(a.outlast()); until.IsZero() || ended.Before(until) {
+	if ended := now.Add(a.windowWithDrift()); until.IsZero() || ended.Before(until) {
 		until = ended
 	}
 	h.until = until
-	if unknown {
+	if unreported {
 		a.unreported[who] = until
 	}
 	return until
 }
 
-// mayHold is until when parts may be in use that were renewed at a time.
-func (a *Allotter) mayHold(at time.Time) time.Time {
-	return at.Add(a.Lease + a.Lease/driftDivisor + a.outlast())
+// inUseUntil is until when parts may be in use that were renewed at a time.
+func (a *Allotter) inUseUntil(renewedAt time.Time) time.Time {
+	return renewedAt.Add(a.Lease + a.Lease/driftDivisor + a.windowWithDrift())
 }
 
-// outlast is how long what a holder let through counts after its end.
-func (a *Allotter) outlast() time.Duration { return a.Window + a.Window/driftDivisor }
+// windowWithDrift is how long what a holder let through counts after its end.
+func (a *Allotter) windowWithDrift() time.Duration { return a.Window + a.Window/driftDivisor }
 
-// outrun ends the parts of earlier runs of a holder: its run has lasted so long already.
-func (a *Allotter) outrun(now time.Time, who holderID, age time.Duration) {
-	ended := now.Add(a.outlast() - max(0, age))
+// expireEarlierRuns ends the parts of earlier runs of a holder: its run has lasted so long already.
+func (a *Allotter) expireEarlierRuns(now time.Time, who holderID, age time.Duration) {
+	ended := now.Add(a.windowWithDrift() - max(0, age))
 	for other, h := range a.listed {
 		if other.name != who.name || other == who {
 			continue
--- a/core/quoter/quoter_test.go
+++ b/core/quoter/quoter_test.go
@@ -323,7 +323,7 @@
 	a := &Allotter{Tolerance: testTerms, Term: 1, ElectedAt: begun, Lease: testLease, Holdoff: time.Second}
 	who := &wire.QuotaHolder{Name: "e", Incarnation: 1}
 	a.Update(&wire.Plan{}, []*wire.QuotaHolder{who}, nil)
-	a.compare(begun, time.Millisecond, 3*time.Second)
+	a.detectSuspension(begun, time.Millisecond, 3*time.Second)
 	_, err := a.Allot(begun, &wire.AllotRequest{Holder: who, Sequence: 1, Whole: true})
 	var suspended *SuspendedError
 	is.True(errors.As(err, &suspended))
