--- a/core/quoter/allotter.go
+++ b/core/quoter/allotter.go
@@ -7,48 +7,56 @@
 )
 
 const (
-	// baseFraction is the part of a quota that all holders together hold at most, unless the organisation is stretched. A new
-	// leader gives out the rest before it has heard all holders, which takes a window where all of them have restarted.
+	// baseFraction is the fraction of a quota that the parts of all holders may add up to, unless the organisation is
+	// stretched. The rest is what a new leader can allot before all holders have reported to it. If all of them have
+	// restarted, that takes a window.
 	baseFraction = 2.0 / 3
-	// prefetchFraction is the part of the usual part up to which parts are given ahead of need, tightPart the one from which on
-	// holders give back what they do not use.
+	// prefetchFraction is the fraction of the base amount up to which parts are allotted in advance. Above
+	// tightFraction, holders give back what they do not use.
 	prefetchFraction = 0.8
 	tightFraction    = 0.92
-	// unreportedRetry is after what a holder asks again while other holders are not known yet: they report within a few calls.
+	// unreportedRetry is the retry delay for holders while others have not reported yet: they report within a few
+	// calls.
 	unreportedRetry = 150 * time.Millisecond
-	// shortRetryDivisor is the part of a window after which a holder that got too little asks again: a tenth.
+	// shortRetryDivisor defines the retry delay for a holder that got too little: a tenth of a window.
 	shortRetryDivisor = 10
 )
 
-// holderID names one run of an entry instance.
+// holderID identifies one run of an entry instance.
 type holderID struct {
 	name        string
 	incarnation uint64
 }
 
-// Allotter is the giving side, owned by the leading controller. Set the exported fields before use.
+// Allotter allots parts of quotas to holders. It is owned by the leading controller. Set the exported fields before
+// use.
 type Allotter struct {
 	Tolerance
-	// Term is that of the leader, Since when it was elected.
+	// Term is the leader's term, ElectedAt when it was elected.
 	Term      uint64
 	ElectedAt time.Time
-	// Lease is how long parts hold, counted by the holder from when it asked.
+	// Lease is how long parts are valid, counted by the holder from when it sent its request.
 	Lease time.Duration
-	// Holdoff is how long nothing is allotted after the process stood still: another leader makes itself known by then.
+	// Holdoff is how long nothing is allotted after the process was suspended. If another leader was elected meanwhile,
+	// this controller learns of it within that time.
 	Holdoff time.Duration
 
 	quotas map[string]*quota
+	// listed are the runs of entry instances that are listed as holders, latest the last listed run of each instance.
 	listed map[holderID]*holderState
 	latest map[string]holderID
-	// unreported holds, by listed holders that have not reported to this leader, until when they may hold anything.
+	// unreported are the listed holders that have not reported to this leader, with the time until which they may hold
+	// parts of any size.
 	unreported map[holderID]time.Time
-	// stretched are the organisations whose parts may add up to the whole quota. Those that this leader stretched first, fresh,
-	// may get the rest beyond the usual part also while some holders are unknown.
+	// stretched are the organisations whose parts may add up to the whole quota. Those that were stretched by this
+	// leader (stretchedInTerm) may be allotted the rest beyond the base amount while some holders are unreported.
 	stretched       map[string]bool
 	stretchedInTerm map[string]bool
-	// toStretch and relaxing are those for which that is to begin or to end.
+	// toStretch and toRelax are the organisations to begin or stop stretching.
 	toStretch    map[string]bool
 	toRelax      map[string]bool
+	// refreshedAt is when refresh last ran, expireAt when it next looks for expired holders. Until holdoffUntil nothing
+	// is allotted.
 	refreshedAt  time.Time
 	expireAt     time.Time
 	holdoffUntil time.Time
@@ -56,26 +64,28 @@
 
 type quota struct {
 	limit int64
-	// allotted is what all holders may let through, as far as they are known.
+	// allotted is the sum of the parts of all holders that have reported.
 	allotted int64
-	// allottedBeforeReports is what was allottedBeforeReports out while some holders were unknown.
+	// allottedBeforeReports is what was allotted while some holders were unreported.
 	allottedBeforeReports int64
 }
 
-// base is what holders may hold together while the organisation is not stretched.
+// base is the sum of parts allowed while the organisation is not stretched.
 func (q *quota) base() int64 { return int64(baseFraction * float64(q.limit)) }
 
+// holderState is what the allotter knows of one holder.
 type holderState struct {
 	sequence uint64
-	// until is when nothing given to the holder can be in use any more, zero before its first report.
+	// until is when no part of the holder can be in use any more, zero before its first report.
 	until time.Time
 	parts map[string]int64
-	// superseded: another run of its name is listed. over: nothing can be in use any more.
+	// superseded is set once a later run of the same instance is listed, expired once no part can be in use any more.
 	superseded bool
 	expired    bool
 }
 
-// Update takes the organisations of the plan in force, the listed holders, oldest first, and the stretched organisations.
+// Update sets the plan in force with its organisations, the listed holders, oldest first, and the stretched
+// organisations.
 func (a *Allotter) Update(plan *wire.Plan, holders []*wire.QuotaHolder, stretched []string) {
 	if a.listed == nil {
 		a.listed, a.unreported = map[holderID]*holderState{}, map[holderID]time.Time{}
@@ -145,7 +155,8 @@
 	}
 }
 
-// Allot answers one request of a holder.
+// Allot answers a request of a holder. It returns a SuspendedError after the process was suspended, an UnlistedError if
+// the holder is not listed or was superseded, and a SequenceError if a later request was answered already.
 func (a *Allotter) Allot(now time.Time, r *wire.AllotRequest) (*wire.AllotResponse, error) {
 	a.refresh(now)
 	if now.Before(a.holdoffUntil) {
@@ -153,12 +164,12 @@
 	}
 	who := holderID{r.GetHolder().GetName(), r.GetHolder().GetIncarnation()}
 	h, ok := a.listed[who]
-	// One whose parts have ended is about to be taken off the list, so nothing more may be given to it before.
+	// An expired holder is about to be removed from the list, so it must not be allotted anything more.
 	if !ok || h.expired || a.latest[who.name] != who {
 		return nil, &UnlistedError{who.name}
 	}
 	if r.GetSequence() <= h.sequence {
-		// A late request reports parts that have changed since; believing it could count too little.
+		// A late request reports parts that have changed since; using it could count too little.
 		return nil, &SequenceError{Holder: who.name, Got: r.GetSequence(), Last: h.sequence}
 	}
 	h.sequence = r.GetSequence()
@@ -182,8 +193,8 @@
 	return out, nil
 }
 
-// recordReport takes the holder's word for what it holds: it ignores every answer to an earlier request, so that no larger part
-// can come into use after this report.
+// recordReport replaces the known parts by those that the holder reports. The holder ignores answers to earlier
+// requests, so no larger part can come into use after this report.
 func (a *Allotter) recordReport(h *holderState, r *wire.AllotRequest) {
 	if r.GetWhole() {
 		a.release(h)
@@ -195,7 +206,7 @@
 	}
 }
 
-// allotPart adds to a holder's part what it wants, as far as that is free.
+// allotPart adds to a holder's part what it wants, as far as that is available.
 func (a *Allotter) allotPart(now time.Time, h *holderState, q *quota, p *wire.Part) *wire.Allotment {
 	name := p.GetOrganisation()
 	available, wanted := a.available(name, q), max(0, p.GetWanted())
@@ -222,13 +233,14 @@
 	return out
 }
 
-// available is how much more of a quota may be given out now.
+// available returns how much more of a quota may be allotted now.
 func (a *Allotter) available(name string, q *quota) int64 {
 	switch {
 	case len(a.unreported) > 0 && !a.stretchedInTerm[name]:
 		return 0
 	case len(a.unreported) > 0:
-		// Whatever the unknown ones hold, with what the known ones had it is the usual part at most.
+		// What the unreported holders still hold, and what the others held before they reported, adds up to the base
+		// amount at most.
 		return max(0, q.limit-q.base()-q.allottedBeforeReports)
 	case a.isStretched(name):
 		return max(0, q.limit-q.allotted)
@@ -240,7 +252,8 @@
 	return float64(q.allotted) > tightFraction*float64(q.base())
 }
 
-// appendTight tells a holder of its parts of tight quotas that it did not mention.
+// appendTight adds the holder's parts of tight quotas that its request did not mention, so that it gives back what it
+// does not use.
 func (a *Allotter) appendTight(h *holderState, r *wire.AllotRequest, out *wire.AllotResponse) {
 	mentioned := map[string]bool{}
 	for _, p := range r.GetParts() {
--- a/core/quoter/errors.go
+++ b/core/quoter/errors.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// SequenceError says that a request is older than one already answered.
+// SequenceError reports a request that is older than one already answered.
 type SequenceError struct {
 	Holder    string
 	Got, Last uint64
@@ -13,7 +13,7 @@
 	return fmt.Sprintf("parts of quotas of %s: request %d comes after %d", e.Holder, e.Got, e.Last)
 }
 
-// UnlistedError says that an entry instance has to be listed as a holder before it gets any part.
+// UnlistedError reports an entry instance that requests parts before it is listed as a holder.
 type UnlistedError struct{ Holder string }
 
 // Error implements error.
@@ -21,7 +21,7 @@
 	return "parts of quotas: " + e.Holder + " is not listed as a holder yet"
 }
 
-// SuspendedError says that the allotting process stood still, and may have been replaced meanwhile.
+// SuspendedError reports that the allotting process was suspended and may have been replaced as leader meanwhile.
 type SuspendedError struct{}
 
 // Error implements error.
--- a/core/quoter/expiry.go
+++ b/core/quoter/expiry.go
@@ -7,20 +7,20 @@
 )
 
 const (
-	// suspensionThreshold is how far the time of day may run ahead of the steady clock between two looks; more shows that the process
-	// suspensionThreshold still.
+	// suspensionThreshold is how far the wall clock may run ahead of the monotonic clock between two checks. A larger
+	// difference shows that the process was suspended.
 	suspensionThreshold = 200 * time.Millisecond
-	// expiryInterval is how often holders that are gone are looked for.
+	// expiryInterval is how often expired holders are looked for.
 	expiryInterval = 100 * time.Millisecond
 )
 
-// MarkNew tells that a holder was listed by this leader: nobody else can have given it any part.
+// MarkNew records that this leader listed the holder: no other leader can have allotted it any part.
 func (a *Allotter) MarkNew(h *wire.QuotaHolder) {
 	delete(a.unreported, holderID{h.GetName(), h.GetIncarnation()})
 }
 
-// Expired returns listed holders that another run of their name has followed, or that were not heard for long, and that hold
-// nothing any more.
+// Expired returns the listed holders whose parts can't be in use any more, because a later run of the same instance is
+// listed or because they have not reported for long.
 func (a *Allotter) Expired(now time.Time) []*wire.QuotaHolder {
 	a.refresh(now)
 	var out []*wire.QuotaHolder
@@ -32,7 +32,7 @@
 	return out
 }
 
-// refresh notices that the process stood still, and ends the parts that can't be in use any more.
+// refresh detects a suspension of the process, and expires the holders whose parts can't be in use any more.
 func (a *Allotter) refresh(now time.Time) {
 	if !a.refreshedAt.IsZero() {
 		a.detectSuspension(now, now.Sub(a.refreshedAt), now.Round(0).Sub(a.refreshedAt.Round(0)))
@@ -51,15 +51,16 @@
 	}
 }
 
-// detectSuspension notices a process that stood still: its steady clock did, too, and the time of day went on.
+// detectSuspension stops allotting for a while if the process was suspended: the monotonic clock stops during a
+// suspension, the wall clock does not.
 func (a *Allotter) detectSuspension(now time.Time, monotonic, wall time.Duration) {
 	if wall-monotonic > suspensionThreshold {
 		a.holdoffUntil = now.Add(a.Holdoff)
 	}
 }
 
-// heldUntil is until when a holder's parts may be in use, zero if it was listed and has not reported yet. One that another
-// run of its name has followed uses them no more, and what it let through leaves the window.
+// heldUntil returns until when a holder's parts may be in use, zero if it was listed by this leader and has not
+// reported yet. A superseded run does not admit requests any more, and what it admitted leaves the window.
 func (a *Allotter) heldUntil(now time.Time, who holderID, h *holderState) time.Time {
 	until, unreported := a.unreported[who]
 	if !unreported {
@@ -79,15 +80,16 @@
 	return until
 }
 
-// inUseUntil is until when parts may be in use that were renewed at a time.
+// inUseUntil returns until when parts that were renewed at a time may be in use.
 func (a *Allotter) inUseUntil(renewedAt time.Time) time.Time {
 	return renewedAt.Add(a.Lease + a.Lease/driftDivisor + a.windowWithDrift())
 }
 
-// windowWithDrift is how long what a holder let through counts after its end.
+// windowWithDrift is how long requests that a holder admitted count after it ended.
 func (a *Allotter) windowWithDrift() time.Duration { return a.Window + a.Window/driftDivisor }
 
-// expireEarlierRuns ends the parts of earlier runs of a holder: its run has lasted so long already.
+// expireEarlierRuns limits how long the parts of earlier runs of an instance may be in use, given the age of its
+// current run.
 func (a *Allotter) expireEarlierRuns(now time.Time, who holderID, age time.Duration) {
 	ended := now.Add(a.windowWithDrift() - max(0, age))
 	for other, h := range a.listed {
@@ -103,8 +105,8 @@
 	}
 }
 
-// unreportedWait is how long it takes until the last holder is known or holds nothing, if that can be told: those that still run
-// report sooner.
+// unreportedWait returns how long it takes until all superseded holders that have not reported have expired. Those that
+// are still running report sooner.
 func (a *Allotter) unreportedWait(now time.Time) time.Duration {
 	longest := time.Duration(0)
 	for who, until := range a.unreported {
--- a/core/quoter/holder.go
+++ b/core/quoter/holder.go
@@ -8,25 +8,27 @@
 )
 
 const (
-	// minDirectPart is the part in requests per window from which on each entry instance holds its own. Below it one of a region
-	// holds the region's: split into parts of less than a few requests, a quota lies where nobody asks for it.
+	// minDirectPart is the mean part, in requests per window, from which on each entry instance holds its own. Below
+	// it, one instance of each region holds the region's part: if a quota were split into parts of less than a few
+	// requests, they would often lie at instances that get no requests.
 	minDirectPart = 4
-	// evenFraction is the part of the usual part that is held before it is needed, spread evenly: what is held then serves the first
-	// requests while no leader can be reached.
+	// evenFraction is the fraction of the base amount that is held in advance, spread evenly. It serves the first
+	// requests while no leader is reachable.
 	evenFraction = 0.75
-	// renewInterval is how often parts are renewed without need.
+	// renewInterval is how often parts are renewed without demand.
 	renewInterval = time.Second
-	// returnInterval is how often what others lack is given back.
+	// returnInterval is how often unused parts of tight quotas are given back.
 	returnInterval = 200 * time.Millisecond
-	// unknownRetry is after what a caller is asked back whose organisation's quota nobody can tell.
+	// unknownRetry is the retry delay for callers while the holder's parts have expired.
 	unknownRetry = 500 * time.Millisecond
 )
 
-// Holder is the using side at one entry instance; it is for use under one lock. Set the exported fields before use.
+// Holder counts requests against the parts that one entry instance holds. It is not safe for concurrent use. Set the
+// exported fields before use.
 type Holder struct {
-	// Self names this run of the entry instance.
+	// Self identifies this run of the entry instance.
 	Self *wire.QuotaHolder
-	// Started is when this run began.
+	// Started is when this run started.
 	Started time.Time
 
 	window   time.Duration
@@ -34,26 +36,26 @@
 	parts    map[string]*part
 	sequence uint64
 	term     uint64
-	// fullReport: the next request reports everything.
+	// fullReport makes the next request report all parts.
 	fullReport bool
 	lease      time.Duration
-	// renewedAt is when the last request was sent that was answered.
+	// renewedAt is when the last request that was answered was sent.
 	renewedAt time.Time
-	// prefetchAt is when parts are next asked for ahead of need.
+	// prefetchAt is when parts are next requested in advance.
 	prefetchAt time.Time
 	origin     time.Time
 }
 
-// Fleet is what a holder knows of the entry instances among which quotas are shared.
+// Fleet describes the entry instances among which quotas are shared.
 type Fleet struct {
-	// Total is how many there are, Near how many of them are of this one's region.
+	// Total is the number of entry instances, InRegion how many of them are in this one's region.
 	Total    int
 	InRegion int
-	// Owns tells for which organisations this one holds the region's part.
+	// Owns reports whether this instance holds the region's part of an organisation's quota.
 	Owns func(organisation string) bool
 }
 
-// SetFleet fits the parts to the entry instances there are.
+// SetFleet adapts the parts to a changed set of entry instances.
 func (h *Holder) SetFleet(f Fleet) {
 	h.fleet = f
 	for name, p := range h.parts {
@@ -61,7 +63,8 @@
 	}
 }
 
-// assign decides who holds an organisation's part here: each instance its own, or one the whole region's.
+// assign determines whether each instance holds its own part of an organisation's quota or one holds the whole
+// region's, and whether this instance holds one.
 func (h *Holder) assign(name string, p *part) {
 	base := baseFraction * (p.rate*h.window.Seconds() + p.burst)
 	all := float64(max(1, h.fleet.Total))
@@ -74,13 +77,14 @@
 	p.evenShare = int64(evenFraction * base / holders)
 }
 
-// Pooled reports whether one instance of the region holds an organisation's part for all.
+// Pooled reports whether one instance holds the organisation's part for the whole region.
 func (h *Holder) Pooled(organisation string) bool {
 	p, ok := h.parts[organisation]
 	return ok && p.pooled
 }
 
-// Update takes the organisations of a plan. Where a quota is lowered, this holder's part is lowered alike at once.
+// Update sets the organisations of a plan. Where a quota is lowered, this holder's part is lowered at once in
+// proportion.
 func (h *Holder) Update(now time.Time, plan *wire.Plan) {
 	if h.origin.IsZero() {
 		h.origin = now.Add(-time.Second)
@@ -105,8 +109,8 @@
 	return &part{dirty: true, used: limiter.Window{Origin: h.origin, Length: h.window}}
 }
 
-// Take counts a request of an organisation, if its quota allows that. Last is the verdict on the same request before, zero
-// if there was none.
+// Take counts a request of an organisation if its quota allows that. last is the previous verdict on the same request,
+// zero if there was none.
 func (h *Holder) Take(now time.Time, organisation string, last Verdict) Verdict {
 	p, ok := h.parts[organisation]
 	if !ok {
@@ -133,20 +137,20 @@
 	return out
 }
 
-// Return takes back a request that was counted and has not run.
+// Return reverts the count of a request that has not run.
 func (h *Holder) Return(now time.Time, organisation string, v Verdict) {
 	if p, ok := h.parts[organisation]; ok && !v.CountedAt.IsZero() {
 		p.used.Return(now, v.CountedAt, 1)
 	}
 }
 
-// valid reports whether the parts hold. The steady clock does not count the time in which the process was suspended, and the
-// time of day may be set back, so both have to say so.
+// valid reports whether the lease of the parts is valid. The monotonic clock does not count the time in which the
+// process was suspended, and the wall clock may be set back, so both are checked.
 func (h *Holder) valid(now time.Time) bool {
 	return !h.renewedAt.IsZero() && now.Sub(h.renewedAt) < h.lease && now.Round(0).Sub(h.renewedAt.Round(0)) < h.lease
 }
 
-// HasPending reports whether requests wait for more than is held.
+// HasPending reports whether requests wait for larger parts.
 func (h *Holder) HasPending() bool {
 	for _, p := range h.parts {
 		if p.wanted > 0 {
@@ -156,7 +160,7 @@
 	return false
 }
 
-// Request lowers what is not needed and returns the next request; there must be no other one on its way.
+// Request gives back what is not needed and returns the next request. Only one request may be in flight.
 func (h *Holder) Request(now time.Time) *wire.AllotRequest {
 	if !h.valid(now) {
 		h.expire()
@@ -187,7 +191,7 @@
 	return out
 }
 
-// expire gives up all parts: others may hold them by now.
+// expire gives up all parts: they may have been allotted to others meanwhile.
 func (h *Holder) expire() {
 	h.fullReport = true
 	for _, p := range h.parts {
@@ -195,7 +199,7 @@
 	}
 }
 
-// Accept takes the answer to the last request, which was sent at a time.
+// Accept applies the answer to the last request, which was sent at the given time. It ignores answers of earlier terms.
 func (h *Holder) Accept(now, sent time.Time, r *wire.AllotResponse) {
 	if r.GetTerm() < h.term {
 		return
@@ -213,7 +217,7 @@
 		}
 		p.tight = a.GetTight()
 		if p.reportedIn == h.sequence {
-			// What was used beyond the part counts as held by the other side until it hears that it has left the window.
+			// The allotter counts use beyond the part as held until a report shows that it has left the window.
 			p.held, p.dirty = a.GetHeld(), p.reportedUse > a.GetHeld()
 		}
 		if a.GetShort() {
@@ -222,7 +226,7 @@
 	}
 }
 
-// setWindow takes the span over which requests are counted.
+// setWindow sets the span over which requests are counted.
 func (h *Holder) setWindow(window time.Duration) {
 	if window == h.window {
 		return
@@ -234,7 +238,8 @@
 	}
 }
 
-// RenewalDue reports whether a request is due that nobody waits for: the parts should be renewed, or others lack what is held here.
+// RenewalDue reports whether a request should be sent although none is waiting for one: the parts have to be renewed,
+// or unused parts given back.
 func (h *Holder) RenewalDue(now time.Time) bool {
 	age := now.Sub(h.renewedAt)
 	if len(h.parts) == 0 || age < returnInterval {
--- a/core/quoter/part.go
+++ b/core/quoter/part.go
@@ -6,35 +6,38 @@
 	"chervilrail.example/core/limiter"
 )
 
-// spareDivisor: a holder likes to have half of what it uses at hand beyond that, and one at least.
+// spareDivisor defines the spare part that a holder tries to keep beyond its current use: half of the use, and at least
+// one request.
 const spareDivisor = 2
 
-// part is what is held of one organisation's quota.
+// part is this instance's part of one organisation's quota.
 type part struct {
-	// rate and burst are the whole quota's.
+	// rate and burst are those of the whole quota.
 	rate   float64
 	burst  float64
 	held   int64
 	used   limiter.Window
 	wanted int64
-	// reportedIn is the sequence of the last request that reported this part, 0 if its answer no longer fits.
+	// reportedIn is the sequence of the last request that reported this part, 0 if its answer must not be applied.
 	reportedIn uint64
-	// reportedUse is the use that was reportedUse then.
+	// reportedUse is the use reported in that request.
 	reportedUse int64
-	// dirty: the allotting side does not know yet what is held.
+	// dirty is set when the allotter does not know the current part.
 	dirty bool
 	tight bool
-	// pooled: one instance of the region holds the part of all; own: this one holds a part. even is what it likes to hold
-	// before any of it is used.
+	// pooled is set if one instance holds the part for its whole region, owned if this instance holds a part. evenShare
+	// is the part to hold before any of it is used.
 	pooled    bool
 	owned     bool
 	evenShare int64
-	// exhaustedUntil is until when no more is asked for, roomAt when there is room again as far as that is known.
+	// exhaustedUntil is until when no more is requested; availableAt is when the quota is expected to have room, as far
+	// as the allotter can estimate it.
 	exhaustedUntil time.Time
 	availableAt    time.Time
 }
 
-// resize fits the part to a quota. An answer that is on its way was given for the old one and must not raise it again.
+// resize adapts the part to a changed quota. If the quota was lowered, an answer in flight was computed for the old
+// quota and must not raise the part again.
 func (p *part) resize(window time.Duration, rate, burst float64) {
 	before, after := p.rate*window.Seconds()+p.burst, rate*window.Seconds()+burst
 	if after < before {
@@ -45,7 +48,7 @@
 	p.rate, p.burst = rate, burst
 }
 
-// retryAt is when there may be retryAt again: when the oldest use leaves the window, or when more may be had.
+// retryAt returns when there may be room again: when the oldest use leaves the window, or when more can be allotted.
 func (p *part) retryAt(now time.Time) time.Time {
 	if free := p.used.Free(now); p.held > 0 && free.After(now) {
 		return free
@@ -56,8 +59,8 @@
 	return p.exhaustedUntil
 }
 
-// releaseIdle gives back half of what is not used, where others lack it. Given back at once by all holders, it would be missing at
-// them a moment later.
+// releaseIdle gives back half of the unused part where the quota is tight, and all of it where another instance holds
+// the region's part. If all holders gave back everything unused at once, they would lack it a moment later.
 func (p *part) releaseIdle(used int64) {
 	idle := p.held - used
 	switch {
@@ -70,7 +73,7 @@
 	}
 }
 
-// prefetch is what the holder would like to have more.
+// prefetch returns how much more the holder would like to hold in advance.
 func (p *part) prefetch(used int64) int64 {
 	if p.tight || !p.owned {
 		return 0
--- a/core/quoter/quoter.go
+++ b/core/quoter/quoter.go
@@ -1,16 +1,20 @@
 // Package quoter shares each organisation's quota among the entry instances.
 //
-// It answers the load in which an organisation asks for more than its quota at many entry instances at once, and the one in
-// which it asks for less, but never twice at the same place: parts that are fixed, or that follow the news of what others
-// use, pass the quota in the first case or refuse in the second what it allows.
+// A quota limits the requests of an organisation in any window of a fixed length. The leading controller (Allotter)
+// allots parts of it to the entry instances (Holder). A holder admits at most its part in any window and gives back
+// only what it has not used within the current window. What it gives back can therefore be used elsewhere at once, and
+// no window ever contains more requests than the sum of all parts. Parts are leased, so that instances go on serving
+// requests while no controller is reachable.
 //
-// A quota is a number of requests in any window of a length. The leading controller, the Allotter, gives parts of it to
-// entry instances, the Holders. A holder lets through at most its part in any window, and gives back only what it has not
-// used in the window that ends: what it gives back may be used elsewhere at once, and still no window holds more than the
-// sum of all parts. Parts hold for a lease, so that requests go on being served while no controller can be reached.
+// The package handles organisations that exceed their quota at many entry instances at once, and organisations that
+// stay below it but whose demand moves between instances. Fixed parts, or parts derived from periodically published
+// usage, exceed the quota in the first case or refuse requests within it in the second.
 //
-// A file each: holder counts requests against parts and asks for them, allotter gives them, ends says until when a part may be
-// in use that nobody renews, stretch keeps a reserve of each quota for the next leader.
+// A quota is stretched while its parts may add up to the whole of it. Otherwise the parts add up to a base amount at
+// most, and the rest is a reserve: a new leader can allot it before all holders have reported to it.
+//
+// Files: holder.go counts requests against parts and requests parts, allotter.go allots them, expiry.go determines
+// until when a part that is not renewed may be in use, stretch.go manages the reserve.
 package quoter
 
 import (
@@ -21,22 +25,24 @@
 )
 
 const (
-	// toleranceFraction is the part of a quota's tolerance that is used. The rest is for requests that are sent again.
+	// toleranceFraction is the fraction of a quota's tolerance that is used. The rest is left for requests that are
+	// retried.
 	toleranceFraction = 0.9
-	// driftDivisor is the share of a lease given up to clocks that run at different rates: 1/50.
+	// driftDivisor defines the share of a duration that is added for clocks running at different rates: 1/50.
 	driftDivisor = 50
 )
 
-// Tolerance say how exact quotas have to be.
+// Tolerance defines how exactly quotas are enforced.
 type Tolerance struct {
-	// Window is the span over which requests are counted; zero means that there are no quotas.
+	// Window is the span over which requests are counted; zero disables quotas.
 	Window time.Duration
-	// Overage is the part by which a quota may be passed in a window, Slack how many requests come on top.
+	// Overage is the fraction by which a quota may be exceeded in a window; Slack is a number of requests allowed on
+	// top.
 	Overage float64
 	Slack   float64
 }
 
-// limit is how many requests of an organisation may run in a window, 0 and false for any number.
+// limit returns how many requests of an organisation may run in a window, or 0 and false if the number is unlimited.
 func (t Tolerance) limit(o *wire.Organisation) (int64, bool) {
 	if o.GetRate() == 0 || t.Window == 0 {
 		return 0, false
--- a/core/quoter/stretch.go
+++ b/core/quoter/stretch.go
@@ -7,16 +7,17 @@
 	"chervilrail.example/core/wire"
 )
 
-// relaxFraction is the part of the usual part below which an organisation is stretched no longer.
+// relaxFraction is the fraction of the base amount below which an organisation is no longer stretched.
 const relaxFraction = 0.9
 
-// isStretched reports whether the parts of an organisation may add up to its isStretched quota.
+// isStretched reports whether the parts of an organisation may add up to its whole quota.
 func (a *Allotter) isStretched(name string) bool { return a.stretched[name] && !a.toRelax[name] }
 
-// ToStretch returns organisations whose parts have to be let add up to the whole quota, sorted.
+// ToStretch returns the organisations that need to be stretched, sorted by name.
 func (a *Allotter) ToStretch() []string { return slices.Sorted(maps.Keys(a.toStretch)) }
 
-// ToRelax returns organisations that need no more than the usual part again, sorted. From now on they get no more.
+// ToRelax returns the stretched organisations that the base amount suffices for again, sorted by name. From this call
+// on, they are not allotted more than that. It returns nil while some holders have not reported.
 func (a *Allotter) ToRelax() []string {
 	if len(a.unreported) > 0 {
 		return nil
@@ -30,8 +31,8 @@
 	return slices.Sorted(maps.Keys(a.toRelax))
 }
 
-// ApplyStretch tells that this leader has let the parts of organisations add up to their whole quotas, or ended that; changed
-// are those for which that was otherwise before.
+// ApplyStretch records that a change proposed by this leader was applied, which stretched organisations or ended that.
+// changed lists the organisations whose state differed before.
 func (a *Allotter) ApplyStretch(c *wire.StretchChange, changed []string) {
 	for _, name := range c.GetOrganisations() {
 		if c.GetOn() {
--- a/core/quoter/verdict.go
+++ b/core/quoter/verdict.go
@@ -2,21 +2,22 @@
 
 import "time"
 
-// Outcome is what becomes of a request that wants to count against a quota.
+// Outcome is the result of counting a request against a quota.
 type Outcome int
 
 const (
-	// Granted lets the request run; it is counted.
+	// Granted means that the request is counted and may run.
 	Granted Outcome = iota
-	// Lacking says that this holder's part is used up, but more may be had: it is worth asking and waiting a moment.
+	// Lacking means that this holder's part is used up, but the quota may have room: more has been requested, and the
+	// caller should wait for the answer.
 	Lacking
-	// Exceeded says that the quota is used up.
+	// Exceeded means that the quota is used up.
 	Exceeded
-	// Unknown says that the holder's parts have run out and nobody renews them.
+	// Unknown means that the holder's parts have expired and could not be renewed.
 	Unknown
 )
 
-// String writes the outcome for logs.
+// String returns the outcome as it appears in logs.
 func (o Outcome) String() string {
 	switch o {
 	case Granted:
@@ -31,12 +32,13 @@
 	return ""
 }
 
-// Verdict is the decision on one request, with what decided it.
+// Verdict is the decision on one request, with the state it was based on.
 type Verdict struct {
 	Outcome Outcome
-	// RetryAt is when there may be room, where the quota is used up.
+	// RetryAt is when the request may succeed, set if the quota is used up or unknown.
 	RetryAt time.Time
-	// Held is this holder's part, Used what of it is used, Since the time of the request that the part was given for.
+	// Held is this holder's part and Used how much of it is used. RenewedAt is when the request was sent whose answer
+	// renewed the part.
 	Held      int64
 	Used      int64
 	RenewedAt time.Time
@@ -44,11 +46,11 @@
 	CountedAt time.Time
 	// Peer is the entry instance that decided, empty for this one.
 	Peer string
-	// requestedIn is the sequence of the request that asks for it.
+	// requestedIn is the sequence of the allotment request that covers this request.
 	requestedIn uint64
 }
 
-// Age is how old the part was that decided, zero if there was none.
+// Age returns the age of the part that the decision was based on, zero if there was none.
 func (v Verdict) Age(now time.Time) time.Duration {
 	if v.RenewedAt.IsZero() {
 		return 0
