--- a/core/quoter/allotter.go
+++ b/core/quoter/allotter.go
@@ -53,8 +53,8 @@
 	stretched       map[string]bool
 	stretchedInTerm map[string]bool
 	// toStretch and toRelax are the organisations to begin or stop stretching.
-	toStretch    map[string]bool
-	toRelax      map[string]bool
+	toStretch map[string]bool
+	toRelax   map[string]bool
 	// refreshedAt is when refresh last ran, expireAt when it next looks for expired holders. Until holdoffUntil nothing
 	// is allotted.
 	refreshedAt  time.Time
@@ -99,21 +99,21 @@
 	a.latest = map[string]holderID{}
 	present := map[holderID]bool{}
 	for _, h := range holders {
-		who := holderID{h.GetName(), h.GetIncarnation()}
-		a.latest[who.name] = who
-		present[who] = true
+		id := holderID{h.GetName(), h.GetIncarnation()}
+		a.latest[id.name] = id
+		present[id] = true
 	}
-	for who := range present {
-		if _, ok := a.listed[who]; !ok {
-			a.listed[who] = &holderState{parts: map[string]int64{}}
-			a.unreported[who] = a.inUseUntil(a.ElectedAt)
+	for id := range present {
+		if _, ok := a.listed[id]; !ok {
+			a.listed[id] = &holderState{parts: map[string]int64{}}
+			a.unreported[id] = a.inUseUntil(a.ElectedAt)
 		}
 	}
-	for who, h := range a.listed {
-		if !present[who] {
+	for id, h := range a.listed {
+		if !present[id] {
 			a.release(h)
-			delete(a.listed, who)
-			delete(a.unreported, who)
+			delete(a.listed, id)
+			delete(a.unreported, id)
 		}
 	}
 }
@@ -162,15 +162,15 @@
 	if now.Before(a.holdoffUntil) {
 		return nil, &SuspendedError{}
 	}
-	who := holderID{r.GetHolder().GetName(), r.GetHolder().GetIncarnation()}
-	h, ok := a.listed[who]
+	id := holderID{r.GetHolder().GetName(), r.GetHolder().GetIncarnation()}
+	h, ok := a.listed[id]
 	// An expired holder is about to be removed from the list, so it must not be allotted anything more.
-	if !ok || h.expired || a.latest[who.name] != who {
-		return nil, &UnlistedError{who.name}
+	if !ok || h.expired || a.latest[id.name] != id {
+		return nil, &UnlistedError{id.name}
 	}
 	if r.GetSequence() <= h.sequence {
 		// A late request reports parts that have changed since; using it could count too little.
-		return nil, &SequenceError{Holder: who.name, Got: r.GetSequence(), Last: h.sequence}
+		return nil, &SequenceError{Holder: id.name, Got: r.GetSequence(), Last: h.sequence}
 	}
 	h.sequence = r.GetSequence()
 	out := &wire.AllotResponse{Term: a.Term, Lease: int64(a.Lease), Window: int64(a.Window)}
@@ -179,11 +179,11 @@
 		return out, nil
 	}
 	if h.until.IsZero() {
-		a.expireEarlierRuns(now, who, time.Duration(r.GetAge()))
+		a.expireEarlierRuns(now, id, time.Duration(r.GetAge()))
 	}
 	h.until = a.inUseUntil(now)
 	a.recordReport(h, r)
-	delete(a.unreported, who)
+	delete(a.unreported, id)
 	for _, p := range r.GetParts() {
 		if q, ok := a.quotas[p.GetOrganisation()]; ok {
 			out.Allotments = append(out.Allotments, a.allotPart(now, h, q, p))
--- a/core/quoter/expiry.go
+++ b/core/quoter/expiry.go
@@ -24,9 +24,9 @@
 func (a *Allotter) Expired(now time.Time) []*wire.QuotaHolder {
 	a.refresh(now)
 	var out []*wire.QuotaHolder
-	for who, h := range a.listed {
+	for id, h := range a.listed {
 		if h.expired {
-			out = append(out, &wire.QuotaHolder{Name: who.name, Incarnation: who.incarnation})
+			out = append(out, &wire.QuotaHolder{Name: id.name, Incarnation: id.incarnation})
 		}
 	}
 	return out
@@ -42,11 +42,11 @@
 		return
 	}
 	a.expireAt = now.Add(expiryInterval)
-	for who, h := range a.listed {
-		if until := a.heldUntil(now, who, h); !until.IsZero() && !now.Before(until) {
+	for id, h := range a.listed {
+		if until := a.heldUntil(now, id, h); !until.IsZero() && !now.Before(until) {
 			a.release(h)
 			h.expired = true
-			delete(a.unreported, who)
+			delete(a.unreported, id)
 		}
 	}
 }
@@ -61,12 +61,12 @@
 
 // heldUntil returns until when a holder's parts may be in use, zero if it was listed by this leader and has not
 // reported yet. A superseded run does not admit requests any more, and what it admitted leaves the window.
-func (a *Allotter) heldUntil(now time.Time, who holderID, h *holderState) time.Time {
-	until, unreported := a.unreported[who]
+func (a *Allotter) heldUntil(now time.Time, id holderID, h *holderState) time.Time {
+	until, unreported := a.unreported[id]
 	if !unreported {
 		until = h.until
 	}
-	if a.latest[who.name] == who || h.superseded {
+	if a.latest[id.name] == id || h.superseded {
 		return until
 	}
 	h.superseded = true
@@ -75,7 +75,7 @@
 	}
 	h.until = until
 	if unreported {
-		a.unreported[who] = until
+		a.unreported[id] = until
 	}
 	return until
 }
@@ -90,10 +90,10 @@
 
 // expireEarlierRuns limits how long the parts of earlier runs of an instance may be in use, given the age of its
 // current run.
-func (a *Allotter) expireEarlierRuns(now time.Time, who holderID, age time.Duration) {
+func (a *Allotter) expireEarlierRuns(now time.Time, id holderID, age time.Duration) {
 	ended := now.Add(a.windowWithDrift() - max(0, age))
 	for other, h := range a.listed {
-		if other.name != who.name || other == who {
+		if other.name != id.name || other == id {
 			continue
 		}
 		if ended.Before(h.until) {
@@ -109,8 +109,8 @@
 // are still running report sooner.
 func (a *Allotter) unreportedWait(now time.Time) time.Duration {
 	longest := time.Duration(0)
-	for who, until := range a.unreported {
-		if a.latest[who.name] != who {
+	for id, until := range a.unreported {
+		if a.latest[id.name] != id {
 			longest = max(longest, until.Sub(now))
 		}
 	}
--- a/core/quoter/leased_test.go
+++ b/core/quoter/leased_test.go
@@ -12,28 +12,28 @@
 )
 
 const (
-	// testLease is the lease of parts in tests, trip the way to the leader and back.
+	// testLease is the lease of parts in tests, roundTrip the time of a call to the leader.
 	testLease = 20 * time.Second
-	trip      = 80 * time.Millisecond
-	// waits is how long a request waits for a part.
-	waits = 600 * time.Millisecond
+	roundTrip = 80 * time.Millisecond
+	// maxWait is how long a request waits for a part.
+	maxWait = 600 * time.Millisecond
 )
 
-// leased shares quotas by parts that a leader gives out on demand.
+// leased is the strategy of this package: a leader allots parts on demand.
 type leased struct {
-	plan     *wire.Plan
-	terms    Tolerance
-	allotter *Allotter
-	holders  []*seat
-	listed   []*wire.QuotaHolder
-	state    keeper.Keeper
-	sent     int
-	relaxAt  time.Time
-	// down: no leader answers.
-	down bool
-	// lose tells whether a message is lost.
-	lose func() bool
-	// regions is in how many regions the instances are, 0 where each holds its own part of everything.
+	plan      *wire.Plan
+	tolerance Tolerance
+	allotter  *Allotter
+	holders   []*simulatedInstance
+	listed    []*wire.QuotaHolder
+	state     keeper.Keeper
+	sent      int
+	relaxAt   time.Time
+	// leaderDown: no leader answers.
+	leaderDown bool
+	// dropMessage reports whether a message is lost.
+	dropMessage func() bool
+	// regions is the number of regions of the instances, 0 if each instance holds its own part of every quota.
 	regions int
 }
 
@@ -53,37 +53,39 @@
 	}
 }
 
-// owner is the instance of the same region that holds an organisation's part.
+// owner returns the instance of the same region that holds an organisation's part.
 func (l *leased) owner(instance int, organisation string) int {
 	near := len(l.holders) / l.regions
 	return instance%l.regions + l.regions*int(xxhash.Sum64String(organisation)%uint64(near))
 }
 
-// seat is one entry instance with its call on the way.
-type seat struct {
-	holder  Holder
-	waiting []waiter
-	busy    bool
-	sentAt  time.Time
-	backAt  time.Time
-	nextAt  time.Time
-	request *wire.AllotRequest
-	answer  *wire.AllotResponse
-	cut     bool
+// simulatedInstance is an entry instance with its call in flight.
+type simulatedInstance struct {
+	holder       Holder
+	pending      []pendingRequest
+	inFlight     bool
+	sentAt       time.Time
+	answerAt     time.Time
+	nextCallAt   time.Time
+	request      *wire.AllotRequest
+	answer       *wire.AllotResponse
+	disconnected bool
 }
 
-type waiter struct {
+type pendingRequest struct {
 	organisation int
 	until        time.Time
 	done         func(decided time.Time, granted bool)
 	last         Verdict
 }
 
-func newLeased(now time.Time, terms Tolerance, instances int, organisations []*wire.Organisation) *leased {
-	l := &leased{terms: terms, plan: &wire.Plan{Organisations: organisations}, lose: func() bool { return false }}
+func newLeased(now time.Time, tolerance Tolerance, instances int, organisations []*wire.Organisation) *leased {
+	l := &leased{
+		tolerance: tolerance, plan: &wire.Plan{Organisations: organisations}, dropMessage: func() bool { return false },
+	}
 	for i := range instances {
 		l.listed = append(l.listed, &wire.QuotaHolder{Name: organisationName(i), Incarnation: 1})
-		s := &seat{holder: Holder{Self: l.listed[i], Started: now.Add(-time.Minute)}}
+		s := &simulatedInstance{holder: Holder{Self: l.listed[i], Started: now.Add(-time.Minute)}}
 		s.holder.Update(now, l.plan)
 		l.holders = append(l.holders, s)
 	}
@@ -91,25 +93,25 @@
 	return l
 }
 
-// elect makes a new leader that knows what is replicated and nothing else.
+// elect replaces the leader by one that knows only the replicated state.
 func (l *leased) elect(now time.Time, term uint64) {
-	l.allotter = &Allotter{Tolerance: l.terms, Term: term, ElectedAt: now, Lease: testLease, Holdoff: time.Second}
+	l.allotter = &Allotter{Tolerance: l.tolerance, Term: term, ElectedAt: now, Lease: testLease, Holdoff: time.Second}
 	l.allotter.Update(l.plan, l.listed, l.state.Stretched())
 }
 
-func (l *leased) follow(now time.Time, plan *wire.Plan) {
+func (l *leased) updatePlan(now time.Time, plan *wire.Plan) {
 	l.plan = plan
 	l.allotter.Update(plan, l.listed, l.state.Stretched())
 	for _, s := range l.holders {
-		if !s.cut {
+		if !s.disconnected {
 			s.holder.Update(now, plan)
 		}
 	}
 }
 
-// stretch replicates what the leader wants replicated.
+// stretch applies a change that the leader wants replicated.
 func (l *leased) stretch(names []string, on bool) {
-	if len(names) == 0 || l.down {
+	if len(names) == 0 || l.leaderDown {
 		return
 	}
 	change := &wire.StretchChange{Organisations: names, On: on}
@@ -131,7 +133,7 @@
 	case Exceeded:
 		done(now, false)
 	case Lacking, Unknown:
-		s.waiting = append(s.waiting, waiter{organisation, now.Add(waits), done, v})
+		s.pending = append(s.pending, pendingRequest{organisation, now.Add(maxWait), done, v})
 	}
 }
 
@@ -143,26 +145,26 @@
 	}
 	for _, s := range l.holders {
 		l.call(now, s)
-		l.wake(now, s, false)
+		l.retryPending(now, s, false)
 	}
 }
 
-func (l *leased) call(now time.Time, s *seat) {
-	if s.busy && !now.Before(s.backAt) {
-		s.busy = false
-		if s.answer != nil && !s.cut && !l.lose() {
+func (l *leased) call(now time.Time, s *simulatedInstance) {
+	if s.inFlight && !now.Before(s.answerAt) {
+		s.inFlight = false
+		if s.answer != nil && !s.disconnected && !l.dropMessage() {
 			s.holder.Accept(now, s.sentAt, s.answer)
-			l.wake(now, s, true)
+			l.retryPending(now, s, true)
 		}
 	}
-	if s.busy || now.Before(s.nextAt) || !s.holder.HasPending() && !s.holder.RenewalDue(now) {
+	if s.inFlight || now.Before(s.nextCallAt) || !s.holder.HasPending() && !s.holder.RenewalDue(now) {
 		return
 	}
-	s.request, s.busy, s.sentAt, s.backAt = s.holder.Request(now), true, now, now.Add(trip)
-	s.nextAt, s.answer = now.Add(trip), nil
+	s.request, s.inFlight, s.sentAt, s.answerAt = s.holder.Request(now), true, now, now.Add(roundTrip)
+	s.nextCallAt, s.answer = now.Add(roundTrip), nil
 	l.sent += proto.Size(s.request)
-	if l.down || s.cut || l.lose() {
-		s.backAt = now.Add(500 * time.Millisecond)
+	if l.leaderDown || s.disconnected || l.dropMessage() {
+		s.answerAt = now.Add(500 * time.Millisecond)
 		return
 	}
 	s.answer, _ = l.allotter.Allot(now, s.request)
@@ -171,11 +173,11 @@
 	}
 }
 
-// wake lets waiting requests try again after an answer, and ends those that waited too long.
-func (l *leased) wake(now time.Time, s *seat, answered bool) {
-	waiting := s.waiting
-	s.waiting = nil
-	for _, w := range waiting {
+// retryPending retries pending requests after an answer, and refuses those that have waited too long.
+func (l *leased) retryPending(now time.Time, s *simulatedInstance, answered bool) {
+	pending := s.pending
+	s.pending = nil
+	for _, w := range pending {
 		if answered {
 			v := s.holder.Take(now, l.plan.GetOrganisations()[w.organisation].GetName(), w.last)
 			w.last = v
@@ -188,14 +190,14 @@
 			w.done(now, false)
 			continue
 		}
-		s.waiting = append(s.waiting, w)
+		s.pending = append(s.pending, w)
 	}
 }
 
 func (l *leased) bytes() int { return l.sent }
 
-// restart replaces a run of an entry instance by the next, which is listed behind it.
-func (l *leased) restart(now time.Time, s *seat) {
+// restart replaces a run of an entry instance by a new one, which is listed after it.
+func (l *leased) restart(now time.Time, s *simulatedInstance) {
 	s.holder = Holder{Started: now, Self: &wire.QuotaHolder{
 		Name: s.holder.Self.GetName(), Incarnation: s.holder.Self.GetIncarnation() + 1,
 	}}
@@ -203,7 +205,7 @@
 	if l.regions > 0 {
 		s.holder.SetFleet(l.fleet(slices.Index(l.holders, s)))
 	}
-	s.busy, s.answer, s.waiting = false, nil, nil
+	s.inFlight, s.answer, s.pending = false, nil, nil
 	l.listed = append(l.listed, s.holder.Self)
 	l.allotter.Update(l.plan, l.listed, l.state.Stretched())
 	l.allotter.MarkNew(s.holder.Self)
--- a/core/quoter/replay_test.go
+++ b/core/quoter/replay_test.go
@@ -9,57 +9,58 @@
 	"chervilrail.example/core/wire"
 )
 
-// sharing is a way to share quotas among entry instances, as the replay drives it: one decision on a request of an
+// strategy is a way to share quotas among entry instances. The simulation asks it for a decision on each request of an
 // organisation at an instance.
-type sharing interface {
-	// admit decides on a request that comes at a time; done is called with the outcome and when it was decided.
+type strategy interface {
+	// admit decides on a request that arrives at the given time; done is called with the outcome and the time of the
+	// decision.
 	admit(now time.Time, instance, organisation int, done func(decided time.Time, granted bool))
 	// tick is called every few milliseconds.
 	tick(now time.Time)
-	// bytes is what was sent between instances and controllers.
+	// bytes returns the volume of messages between instances and controllers.
 	bytes() int
 }
 
-// world replays a load on entry instances in logical time.
-type world struct {
-	terms         Tolerance
+// simulation runs a load on entry instances in logical time.
+type simulation struct {
+	tolerance     Tolerance
 	instances     int
 	organisations []*wire.Organisation
-	// demand is the part of its rate that an organisation asks for.
+	// demand returns the fraction of its rate that an organisation asks for.
 	demand func(at time.Duration, organisation int) float64
-	// where chooses the instance that a request comes to.
-	where func(random *rand.Rand, at time.Duration) int
-	// each is called every step.
-	each func(now time.Time, at time.Duration)
-	// step is how finely time passes, zero for the usual.
+	// route selects the instance that a request is sent to.
+	route func(random *rand.Rand, at time.Duration) int
+	// onStep is called every step.
+	onStep func(now time.Time, at time.Duration)
+	// step is the resolution of the logical time, zero for the default.
 	step time.Duration
 }
 
-// tally is what became of the requests of one organisation.
+// tally counts the requests of one organisation by result.
 type tally struct {
 	asked   int
 	granted int
-	// most is the highest count in any window, over the limit of the users' rule.
-	most float64
-	// refused below the limit, by second.
-	refused []int
-	askedIn []int
-	times   []time.Time
+	// fullestWindow is the highest count in any window, relative to the bound.
+	fullestWindow float64
+	// refused and askedBySecond count requests by the second in which they arrived.
+	refused       []int
+	askedBySecond []int
+	times         []time.Time
 }
 
-const usualStep = 2 * time.Millisecond
+const defaultStep = 2 * time.Millisecond
 
-// play runs the load for a time.
-func (w *world) play(seed uint64, length time.Duration, s sharing) []*tally {
+// run simulates the load for a duration.
+func (w *simulation) run(seed uint64, length time.Duration, s strategy) []*tally {
 	random := rand.New(rand.NewPCG(seed, 1))
 	start, step := time.Unix(1000, 0), w.step
 	if step == 0 {
-		step = usualStep
+		step = defaultStep
 	}
 	out := make([]*tally, len(w.organisations))
 	seconds := int(length/time.Second) + 1
 	for i := range out {
-		out[i] = &tally{refused: make([]int, seconds), askedIn: make([]int, seconds)}
+		out[i] = &tally{refused: make([]int, seconds), askedBySecond: make([]int, seconds)}
 	}
 	for at := time.Duration(0); at < length; at += step {
 		now := start.Add(at)
@@ -68,8 +69,8 @@
 				second := int(at / time.Second)
 				t := out[i]
 				t.asked++
-				t.askedIn[second]++
-				s.admit(now, w.where(random, at), i, func(decided time.Time, granted bool) {
+				t.askedBySecond[second]++
+				s.admit(now, w.route(random, at), i, func(decided time.Time, granted bool) {
 					if !granted {
 						t.refused[second]++
 						return
@@ -79,25 +80,25 @@
 				})
 			}
 		}
-		if w.each != nil {
-			w.each(now, at)
+		if w.onStep != nil {
+			w.onStep(now, at)
 		}
 		s.tick(now)
 	}
 	for i, o := range w.organisations {
-		out[i].most = out[i].highest(w.terms.Window) / w.bound(o)
+		out[i].fullestWindow = out[i].maxInWindow(w.tolerance.Window) / w.bound(o)
 	}
 	return out
 }
 
-// bound is the users' rule: how many requests may run in a window.
-func (w *world) bound(o *wire.Organisation) float64 {
-	return (o.GetRate()*w.terms.Window.Seconds()+o.GetBurst())*(1+w.terms.Overage) + w.terms.Slack
+// bound returns how many requests may run in a window by the rule given to users.
+func (w *simulation) bound(o *wire.Organisation) float64 {
+	return (o.GetRate()*w.tolerance.Window.Seconds()+o.GetBurst())*(1+w.tolerance.Overage) + w.tolerance.Slack
 }
 
-// highest is the most grants in any window. The users' rule counts a request where it was both sent and run inside the window,
-// so this counts no fewer.
-func (t *tally) highest(window time.Duration) float64 {
+// maxInWindow returns the highest number of granted requests in any window. The rule given to users counts requests
+// that were both sent and run inside the window, so this counts no fewer.
+func (t *tally) maxInWindow(window time.Duration) float64 {
 	most, first := 0, 0
 	for i := range t.times {
 		for t.times[i].Sub(t.times[first]) >= window {
@@ -117,7 +118,7 @@
 	return n
 }
 
-// skewed returns organisations of which a few are large; a rate is 1.6 times what the organisation asks for on average.
+// skewed returns organisations of which a few are large. A rate is 1.6 times what the organisation asks for on average.
 func skewed(n int, perSecond float64) []*wire.Organisation {
 	total := 0.0
 	for i := range n {
