--- a/core/quoter/quoter.go
+++ b/core/quoter/quoter.go
@@ -7,14 +7,14 @@
 // requests while no controller is reachable.
 //
 // The package handles organisations that exceed their quota at many entry instances at once, and organisations that
-// stay below it but whose demand moves between instances. Fixed parts, or parts derived from periodically published
-// usage, exceed the quota in the first case or refuse requests within it in the second.
+// stay below it but whose requests hardly ever arrive at the same instance twice. Fixed parts, or parts derived from
+// periodically published usage, exceed the quota in the first case or refuse requests within it in the second.
 //
 // A quota is stretched while its parts may add up to the whole of it. Otherwise the parts add up to a base amount at
 // most, and the rest is a reserve: a new leader can allot it before all holders have reported to it.
 //
-// Files: holder.go counts requests against parts and requests parts, allotter.go allots them, expiry.go determines
-// until when a part that is not renewed may be in use, stretch.go manages the reserve.
+// Files: holder.go counts requests against parts and requests parts, allotter.go allots them, ends.go determines until
+// when a part that is not renewed may be in use, stretch.go manages the reserve.
 package quoter
 
 import (
