--- a/core/admitter/admitter.go
+++ b/core/admitter/admitter.go
@@ -9,22 +9,22 @@
 )
 
 const (
-	// uploadFloorParts is the share of capacity that waiting uploads always get: a fifth.
-	uploadFloorParts = 5
-	// uploadCeilingParts is the share that uploads may fill: half. They are slow, and would otherwise
+	// uploadFloorDivisor is the share of capacity that waiting uploads always get: a fifth.
+	uploadFloorDivisor = 5
+	// uploadCeilingDivisor is the share that uploads may fill: half. They are slow, and would otherwise
 	// leave an urgent look-up nothing but to wait for one of them.
-	uploadCeilingParts = 2
-	// browseGapParts is the share of capacity that browsing leaves free for what is more urgent: a tenth.
-	browseGapParts = 10
-	// queueParts bounds a class's queue, in multiples of the capacity.
-	queueParts = 8
-	minQueue   = 16
+	uploadCeilingDivisor = 2
+	// browseReserveDivisor is the share of capacity that browsing leaves free for what is more urgent: a tenth.
+	browseReserveDivisor = 10
+	// queueFactor bounds a class's queue, in multiples of the capacity.
+	queueFactor = 8
+	minQueue    = 16
 	// smoothing is the weight of the newest service time: an eighth.
 	smoothing = 8
 )
 
-// patience is how long a request of each class may wait here; a caller's earlier deadline goes first.
-var patience = map[cataloguer.Class]time.Duration{
+// maxWait is how long a request of each class may wait here; a caller's earlier deadline goes first.
+var maxWait = map[cataloguer.Class]time.Duration{
 	cataloguer.Urgent: 2 * time.Second,
 	cataloguer.Once:   5 * time.Second,
 	cataloguer.Upload: 30 * time.Second,
@@ -40,7 +40,7 @@
 	// Decided receives the decision on a ticket that has to wait; it needs room for one.
 	Decided chan Decision
 
-	giveUp  time.Time
+	expires time.Time
 	started time.Time
 	state   ticketState
 }
@@ -70,8 +70,8 @@
 	byClass        map[cataloguer.Class]int
 	byOrganisation map[string]int
 	queues         map[cataloguer.Class][]*Ticket
-	// service is the smoothed time that a request holds its place.
-	service time.Duration
+	// serviceTime is the smoothed time that a request holds its place.
+	serviceTime time.Duration
 }
 
 // SetCapacity changes how many requests may run at once, and admits what now fits.
@@ -107,11 +107,11 @@
 // Offer admits a ticket, refuses it, or lets it wait; the last is reported by false.
 func (a *Admitter) Offer(now time.Time, t *Ticket) (Decision, bool) {
 	a.init()
-	t.giveUp = now.Add(patience[t.Class])
-	if !t.Deadline.IsZero() && t.Deadline.Before(t.giveUp) {
-		t.giveUp = t.Deadline
+	t.expires = now.Add(maxWait[t.Class])
+	if !t.Deadline.IsZero() && t.Deadline.Before(t.expires) {
+		t.expires = t.Deadline
 	}
-	if a.ahead(t.Class) == 0 && a.fits(t.Class) {
+	if a.waitingAhead(t.Class) == 0 && a.fits(t.Class) {
 		a.start(now, t)
 		return Decision{Admitted: true}, true
 	}
@@ -120,7 +120,7 @@
 	}
 	// A request that would only wait until it is too late is told so now: the caller can act on it, and
 	// the queue stays short for those that can still be answered.
-	if now.Add(a.expectedWait(t.Class)).After(t.giveUp) {
+	if now.Add(a.expectedWait(t.Class)).After(t.expires) {
 		return a.refuse(now, t, "late"), true
 	}
 	t.state = stateWaiting
@@ -140,10 +140,10 @@
 	return max(minRetry, a.expectedWait(c))
 }
 
-func (a *Admitter) queueBound() int { return max(minQueue, queueParts*a.capacity) }
+func (a *Admitter) queueBound() int { return max(minQueue, queueFactor*a.capacity) }
 
-// ahead counts who waits in the same or a more urgent class.
-func (a *Admitter) ahead(c cataloguer.Class) int {
+// waitingAhead counts who waits in the same or a more urgent class.
+func (a *Admitter) waitingAhead(c cataloguer.Class) int {
 	n := 0
 	for _, o := range cataloguer.Classes() {
 		if o.Rank() <= c.Rank() {
@@ -155,20 +155,20 @@
 
 func (a *Admitter) expectedWait(c cataloguer.Class) time.Duration {
 	if a.capacity <= 0 {
-		return patience[c]
+		return maxWait[c]
 	}
-	return a.service * time.Duration(a.ahead(c)+1) / time.Duration(a.capacity)
+	return a.serviceTime * time.Duration(a.waitingAhead(c)+1) / time.Duration(a.capacity)
 }
 
 // fits reports whether one more of the class may run now.
 func (a *Admitter) fits(c cataloguer.Class) bool {
 	switch c {
 	case cataloguer.Upload:
-		ceiling := max(1, a.capacity/uploadCeilingParts)
+		ceiling := max(1, a.capacity/uploadCeilingDivisor)
 		return a.running < a.capacity && a.byClass[c] < ceiling
 	case cataloguer.Browse:
-		gap := a.capacity / browseGapParts
-		return a.running < a.capacity-gap
+		reserve := a.capacity / browseReserveDivisor
+		return a.running < a.capacity-reserve
 	case cataloguer.Urgent, cataloguer.Once:
 	}
 	return a.running < a.capacity
@@ -195,7 +195,7 @@
 		delete(a.byOrganisation, t.Organisation)
 	}
 	if t.Class != cataloguer.Upload {
-		a.service += (now.Sub(t.started) - a.service) / smoothing
+		a.serviceTime += (now.Sub(t.started) - a.serviceTime) / smoothing
 	}
 	return a.fill(now)
 }
@@ -226,7 +226,7 @@
 	for class, q := range a.queues {
 		var rest []*Ticket
 		for _, t := range q {
-			if now.Before(t.giveUp) {
+			if now.Before(t.expires) {
 				rest = append(rest, t)
 				continue
 			}
@@ -259,7 +259,7 @@
 
 // next picks the waiting ticket to admit: uploads below their floor, then by urgency.
 func (a *Admitter) next(now time.Time) *Ticket {
-	floor := max(1, a.capacity/uploadFloorParts)
+	floor := max(1, a.capacity/uploadFloorDivisor)
 	if a.byClass[cataloguer.Upload] < floor && a.fits(cataloguer.Upload) {
 		if t := a.fairest(now, cataloguer.Upload); t != nil {
 			return t
@@ -281,7 +281,7 @@
 func (a *Admitter) fairest(now time.Time, c cataloguer.Class) *Ticket {
 	var best *Ticket
 	for _, t := range a.queues[c] {
-		if !now.Before(t.giveUp) {
+		if !now.Before(t.expires) {
 			continue
 		}
 		if best == nil || a.byOrganisation[t.Organisation] < a.byOrganisation[best.Organisation] {
--- a/core/admitter/admitter_test.go
+++ b/core/admitter/admitter_test.go
@@ -15,10 +15,10 @@
 	return &Ticket{Class: class, Organisation: organisation, Decided: make(chan Decision, 1)}
 }
 
-func door(capacity int) *Admitter {
+func newAdmitter(capacity int) *Admitter {
 	a := &Admitter{}
 	a.SetCapacity(start, capacity)
-	a.service = 10 * time.Millisecond
+	a.serviceTime = 10 * time.Millisecond
 	return a
 }
 
@@ -42,9 +42,9 @@
 
 // On the night of an event browsing fills every slot, and a venue change is looked up. It must be next,
 // however many others came before.
-func TestUrgentGoesFirst(t *testing.T) {
+func TestUrgentIsAdmittedFirst(t *testing.T) {
 	is := is.New(t)
-	a := door(10)
+	a := newAdmitter(10)
 	running := fill(a, cataloguer.Once, "club", 10)
 	fill(a, cataloguer.Browse, "club", 5)
 	urgent := ticket(cataloguer.Urgent, "club")
@@ -54,8 +54,8 @@
 	is.Equal(next[0], urgent)
 }
 
-func TestBrowsingLeavesAGap(t *testing.T) {
-	a := door(10)
+func TestBrowsingLeavesCapacityFree(t *testing.T) {
+	a := newAdmitter(10)
 	fill(a, cataloguer.Browse, "club", 9)
 	assertOffer(t, a, ticket(cataloguer.Browse, "club"), false, false)
 	assertOffer(t, a, ticket(cataloguer.Urgent, "club"), true, true)
@@ -63,9 +63,9 @@
 
 // Organisers upload photo packs while urgent look-ups never pause. Without a share of their own the
 // uploads would wait until the organisers give up.
-func TestUploadsKeepAShare(t *testing.T) {
+func TestUploadsHaveAMinimumShare(t *testing.T) {
 	is := is.New(t)
-	a := door(10)
+	a := newAdmitter(10)
 	running := fill(a, cataloguer.Urgent, "club", 10)
 	uploads := fill(a, cataloguer.Upload, "club", 4)
 	fill(a, cataloguer.Urgent, "club", 5)
@@ -77,9 +77,9 @@
 	is.Equal(third[0].Class, cataloguer.Urgent) // the share is used up
 }
 
-func TestUploadsDoNotFillEverything(t *testing.T) {
+func TestUploadsStayBelowCeiling(t *testing.T) {
 	is := is.New(t)
-	a := door(10)
+	a := newAdmitter(10)
 	fill(a, cataloguer.Upload, "club", 20)
 	is.Equal(a.Running(), 5)
 	assertOffer(t, a, ticket(cataloguer.Urgent, "club"), true, true)
@@ -89,7 +89,7 @@
 // not in front of the other club's.
 func TestOrganisationsShareFairly(t *testing.T) {
 	is := is.New(t)
-	a := door(4)
+	a := newAdmitter(4)
 	running := fill(a, cataloguer.Once, "loud", 4)
 	fill(a, cataloguer.Once, "loud", 20)
 	quiet := fill(a, cataloguer.Once, "quiet", 2)
@@ -100,7 +100,7 @@
 func TestRefusalsAreImmediate(t *testing.T) {
 	t.Run("queue full", func(t *testing.T) {
 		is := is.New(t)
-		a := door(2)
+		a := newAdmitter(2)
 		fill(a, cataloguer.Browse, "club", 2+minQueue)
 		d, done := a.Offer(start, ticket(cataloguer.Browse, "club"))
 		is.True(done && !d.Admitted)
@@ -108,8 +108,8 @@
 	})
 	t.Run("deadline can't be met", func(t *testing.T) {
 		is := is.New(t)
-		a := door(1)
-		a.service = time.Second
+		a := newAdmitter(1)
+		a.serviceTime = time.Second
 		fill(a, cataloguer.Urgent, "club", 1)
 		k := ticket(cataloguer.Urgent, "club")
 		k.Deadline = start.Add(500 * time.Millisecond)
@@ -118,18 +118,18 @@
 	})
 	t.Run("waited too long", func(t *testing.T) {
 		is := is.New(t)
-		a := door(1)
+		a := newAdmitter(1)
 		running := fill(a, cataloguer.Browse, "club", 1)
 		fill(a, cataloguer.Browse, "club", 1)
-		late := start.Add(patience[cataloguer.Browse])
+		late := start.Add(maxWait[cataloguer.Browse])
 		is.Equal(len(a.Expire(late)), 1)
 		is.Equal(len(a.Done(late, running[0])), 0) // nothing runs after its answer was given
 	})
 }
 
-func TestCancelFreesThePlace(t *testing.T) {
+func TestCancelFreesCapacity(t *testing.T) {
 	is := is.New(t)
-	a := door(1)
+	a := newAdmitter(1)
 	running := fill(a, cataloguer.Once, "club", 1)
 	waiting := fill(a, cataloguer.Once, "club", 2)
 	a.Cancel(start, waiting[0])
--- a/core/granter/granter.go
+++ b/core/granter/granter.go
@@ -11,8 +11,8 @@
 	"chervilrail.example/core/wire"
 )
 
-// driftParts is the share of a lease given up to clocks that run at different rates: 1/50.
-const driftParts = 50
+// driftDivisor is the share of a lease given up to clocks that run at different rates: 1/50.
+const driftDivisor = 50
 
 // HolderID names one run of an entry instance.
 type HolderID struct {
@@ -57,7 +57,7 @@
 // grace is how long a grant can outlive the moment of its answer: the lease, the clocks' drift, and the
 // window over which a holder's use is counted.
 func (g *Granter) grace() time.Duration {
-	return g.Lease + g.Lease/driftParts + limiter.Span
+	return g.Lease + g.Lease/driftDivisor + limiter.Span
 }
 
 // Renew answers one request of a holder. A request older than one already answered gets a SequenceError.
@@ -70,7 +70,7 @@
 	}
 	h.sequence = sequence
 	h.until = now.Add(g.grace())
-	g.note(h, holdings)
+	g.recordHoldings(h, holdings)
 	grants := make([]*wire.Grant, 0, len(holdings))
 	for _, o := range holdings {
 		grants = append(grants, g.grant(now, id, h, o))
@@ -90,9 +90,9 @@
 	return h
 }
 
-// note takes the holder's word for what it holds: it ignores every answer to an earlier request, so no
+// recordHoldings takes the holder's word for what it holds: it ignores every answer to an earlier request, so no
 // earlier and larger grant can come into force after this report. What it does not mention it does not hold.
-func (g *Granter) note(h *holder, holdings []*wire.Holding) {
+func (g *Granter) recordHoldings(h *holder, holdings []*wire.Holding) {
 	shares := map[string]*share{}
 	for _, o := range holdings {
 		shares[o.GetResource()] = &share{
@@ -110,7 +110,7 @@
 	if !ok {
 		return &wire.Grant{Resource: o.GetResource()}
 	}
-	amount := min(g.target(limit, id), limit.Cap-g.others(o.GetResource(), id))
+	amount := min(g.target(limit, id), limit.Cap-g.outstandingExcept(o.GetResource(), id))
 	// The former leader may have granted to holders that have not yet reported here. Until all that has
 	// ended, a holder keeps at most what it already has in force. Use that only still counts in its window
 	// is no such share: its lease may be long over.
@@ -122,7 +122,7 @@
 	return &wire.Grant{Resource: o.GetResource(), Share: amount}
 }
 
-func (g *Granter) others(resource string, id HolderID) int64 {
+func (g *Granter) outstandingExcept(resource string, id HolderID) int64 {
 	var sum int64
 	for o, h := range g.holders {
 		if o == id {
@@ -135,41 +135,41 @@
 	return sum
 }
 
-// restParts is the part of what nobody wants that is granted all the same: a half. The other half stays
+// unclaimedDivisor is the part of what nobody wants that is granted all the same: a half. The other half stays
 // free, so that a sudden peak at one instance gets it with its next renewal. Were all of it granted, the
 // peak would have to wait until every other instance has renewed twice: to hear that its share shrinks,
 // and to confirm that it did.
-const restParts = 2
+const unclaimedDivisor = 2
 
 // target is the holder's fair part: the floor for everyone, then what each wants as far as equal parts
 // allow, then equal parts of half the rest.
 func (g *Granter) target(limit cataloguer.Limit, id HolderID) int64 {
-	wants := g.wants(limit)
-	count := int64(len(wants))
+	wantedAmounts := g.wantedAmounts(limit)
+	count := int64(len(wantedAmounts))
 	if count == 0 {
 		return 0
 	}
-	level := waterLevel(wants, limit.Cap)
+	level := waterLevel(wantedAmounts, limit.Cap)
 	rest := limit.Cap
-	for _, w := range wants {
+	for _, w := range wantedAmounts {
 		rest -= min(w, level)
 	}
-	mine := g.want(limit, g.holders[id])
-	return min(mine, level) + max(0, rest)/restParts/count
+	wanted := g.wantedAmount(limit, g.holders[id])
+	return min(wanted, level) + max(0, rest)/unclaimedDivisor/count
 }
 
-func (g *Granter) wants(limit cataloguer.Limit) []int64 {
+func (g *Granter) wantedAmounts(limit cataloguer.Limit) []int64 {
 	var out []int64
 	for _, h := range g.holders {
 		if _, ok := h.shares[limit.Resource]; ok {
-			out = append(out, g.want(limit, h))
+			out = append(out, g.wantedAmount(limit, h))
 		}
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i] < out[j] })
 	return out
 }
 
-func (g *Granter) want(limit cataloguer.Limit, h *holder) int64 {
+func (g *Granter) wantedAmount(limit cataloguer.Limit, h *holder) int64 {
 	return max(limit.Floor, h.shares[limit.Resource].wanted)
 }
 
@@ -197,5 +197,5 @@
 // Outstanding returns the most that could be in force of a limit, for status and metrics.
 func (g *Granter) Outstanding(now time.Time, resource string) int64 {
 	g.expire(now)
-	return g.others(resource, HolderID{})
+	return g.outstandingExcept(resource, HolderID{})
 }
--- a/core/granter/holder.go
+++ b/core/granter/holder.go
@@ -8,8 +8,8 @@
 	"chervilrail.example/core/wire"
 )
 
-// wantParts is the headroom that a holder asks for above its demand: a quarter.
-const wantParts = 4
+// headroomDivisor is the headroom that a holder asks for above its demand: a quarter.
+const headroomDivisor = 4
 
 // Holder is the using side, in an entry instance. Its methods are safe for concurrent use.
 type Holder struct {
@@ -20,14 +20,14 @@
 	renewing bool
 	// deadline ends every share at once; it counts from when the accepted request was sent.
 	deadline time.Time
-	shares   map[string]*portion
+	shares   map[string]*heldShare
 }
 
-type portion struct {
-	watched bool
-	limit   int64
-	window  limiter.Window
-	demand  limiter.Window
+type heldShare struct {
+	active bool
+	limit  int64
+	window limiter.Window
+	demand limiter.Window
 }
 
 // unlimited lets the demand window count without refusing.
@@ -39,21 +39,21 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.shares == nil {
-		h.shares = map[string]*portion{}
+		h.shares = map[string]*heldShare{}
 	}
 	for _, p := range h.shares {
-		p.watched = false
+		p.active = false
 	}
 	for _, name := range resources {
 		p, ok := h.shares[name]
 		if !ok {
-			p = &portion{window: limiter.Window{Origin: now}, demand: limiter.Window{Origin: now}}
+			p = &heldShare{window: limiter.Window{Origin: now}, demand: limiter.Window{Origin: now}}
 			h.shares[name] = p
 		}
-		p.watched = true
+		p.active = true
 	}
 	for name, p := range h.shares {
-		if !p.watched && p.window.Used(now) == 0 {
+		if !p.active && p.window.Used(now) == 0 {
 			delete(h.shares, name)
 		}
 	}
@@ -78,7 +78,7 @@
 			Resource: name,
 			Held:     p.limit,
 			Used:     p.window.Used(now),
-			Wanted:   wanted + wanted/wantParts,
+			Wanted:   wanted + wanted/headroomDivisor,
 		})
 	}
 	return h.sequence, out
@@ -125,7 +125,7 @@
 	if !ok {
 		return true
 	}
-	if !p.watched {
+	if !p.active {
 		return p.window.Take(now, unlimited, n)
 	}
 	if !now.Before(h.deadline) {
@@ -139,7 +139,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	p, ok := h.shares[resource]
-	if !ok || !p.watched {
+	if !ok || !p.active {
 		return unlimited
 	}
 	if !now.Before(h.deadline) {
--- a/core/granter/schedule_test.go
+++ b/core/granter/schedule_test.go
@@ -33,8 +33,8 @@
 	resource  = "region:almaty"
 )
 
-// server is what both the real and the naive leaders offer.
-type server interface {
+// renewer is what both the real and the naive leaders offer.
+type renewer interface {
 	Renew(now time.Time, id HolderID, sequence uint64, holdings []*wire.Holding) ([]*wire.Grant, error)
 }
 
@@ -48,8 +48,8 @@
 	return []*wire.Grant{{Resource: resource, Share: n.target(n.limits[resource], id)}}, nil
 }
 
-// user is one entry instance.
-type user struct {
+// instance is one entry instance.
+type instance struct {
 	Holder
 	id     HolderID
 	frozen bool
@@ -57,61 +57,61 @@
 }
 
 type answer struct {
-	user     *user
+	instance *instance
 	id       HolderID
 	sequence uint64
 	grants   []*wire.Grant
 }
 
 type request struct {
-	user     *user
+	instance *instance
 	id       HolderID
 	sequence uint64
 	holdings []*wire.Holding
 }
 
-// stage is a leader, its holders and the messages between them.
-type stage struct {
-	random   *rand.Rand
-	now      time.Time
-	make     func(since time.Time) server
-	leader   server
-	users    []*user
-	requests []request
-	answers  []answer
-	uses     []time.Time
-	serial   uint64
-	served   int
+// simulation is a leader, its holders and the messages between them.
+type simulation struct {
+	random    *rand.Rand
+	now       time.Time
+	newLeader func(since time.Time) renewer
+	leader    renewer
+	instances []*instance
+	requests  []request
+	answers   []answer
+	uses      []time.Time
+	serial    uint64
+	served    int
 }
 
-func newStage(seed uint64, build func(since time.Time) server) *stage {
-	s := &stage{random: rand.New(rand.NewPCG(seed, 2)), now: time.Unix(1000, 0), make: build}
+func newSimulation(seed uint64, build func(since time.Time) renewer) *simulation {
+	s := &simulation{random: rand.New(rand.NewPCG(seed, 2)), now: time.Unix(1000, 0), newLeader: build}
 	s.leader = build(time.Time{})
 	for i := range 6 {
-		u := &user{id: HolderID{fmt.Sprintf("e%d", i), 1}}
+		u := &instance{id: HolderID{fmt.Sprintf("e%d", i), 1}}
 		u.SetResources(s.now, []string{resource})
-		s.users = append(s.users, u)
+		s.instances = append(s.instances, u)
 	}
 	return s
 }
 
-func realLeader(since time.Time) server {
+func realLeader(since time.Time) renewer {
 	g := &Granter{Lease: testLease, ElectedAt: since}
 	g.SetLimits([]cataloguer.Limit{{Resource: resource, Cap: testCap, Floor: 2}})
 	return g
 }
 
-func naiveLeader(since time.Time) server {
+func naiveLeader(since time.Time) renewer {
 	g, _ := realLeader(since).(*Granter)
 	return &naive{*g}
 }
 
-// forgetful is a new leader that does not wait until the grants of the former one have ended.
-func forgetful(time.Time) server { return realLeader(time.Time{}) }
+// leaderWithoutGrace is a new leader that does not wait until the grants of the former one have ended.
+func leaderWithoutGrace(time.Time) renewer { return realLeader(time.Time{}) }
 
-func (s *stage) step() error {
+func (s *simulation) step() error {
 	s.now = s.now.Add(time.Duration(s.random.IntN(60)) * time.Millisecond)
-	u := s.users[s.random.IntN(len(s.users))]
+	u := s.instances[s.random.IntN(len(s.instances))]
 	switch s.random.IntN(60) {
 	case 0:
 		u.frozen = !u.frozen
@@ -119,26 +119,26 @@
 		u.demand = s.random.IntN(200)
 	case 2:
 		if s.random.IntN(4) == 0 {
-			s.leader = s.make(s.now)
+			s.leader = s.newLeader(s.now)
 		}
 	case 3:
 		s.restart(u)
 	}
-	for _, o := range s.users {
-		s.act(o)
+	for _, o := range s.instances {
+		s.useAndRequest(o)
 	}
-	s.carry()
+	s.deliverMessages()
 	return s.check()
 }
 
 // restart replaces an instance by a new run of the same name.
-func (s *stage) restart(u *user) {
+func (s *simulation) restart(u *instance) {
 	s.serial++
-	*u = user{id: HolderID{u.id.Name, s.serial + 1}, demand: u.demand}
+	*u = instance{id: HolderID{u.id.Name, s.serial + 1}, demand: u.demand}
 	u.SetResources(s.now, []string{resource})
 }
 
-func (s *stage) act(u *user) {
+func (s *simulation) useAndRequest(u *instance) {
 	if u.frozen {
 		return
 	}
@@ -155,8 +155,8 @@
 	}
 }
 
-// carry delivers some messages late, doubled, out of order or not at all.
-func (s *stage) carry() {
+// deliverMessages delivers some messages late, doubled, out of order or not at all.
+func (s *simulation) deliverMessages() {
 	for range s.random.IntN(8) {
 		if len(s.requests) > 0 {
 			i := s.random.IntN(min(len(s.requests), 4))
@@ -165,7 +165,7 @@
 				s.requests = append(s.requests[:i:i], s.requests[i+1:]...)
 			}
 			if grants, err := s.leader.Renew(s.now, r.id, r.sequence, r.holdings); err == nil {
-				s.answers = append(s.answers, answer{r.user, r.id, r.sequence, grants})
+				s.answers = append(s.answers, answer{r.instance, r.id, r.sequence, grants})
 			}
 		}
 		if len(s.answers) > 0 {
@@ -174,15 +174,15 @@
 			if s.random.IntN(10) != 0 {
 				s.answers = append(s.answers[:i:i], s.answers[i+1:]...)
 			}
-			if a.id == a.user.id && !a.user.frozen {
-				a.user.Accept(s.now, a.sequence, testLease, a.grants)
+			if a.id == a.instance.id && !a.instance.frozen {
+				a.instance.Accept(s.now, a.sequence, testLease, a.grants)
 			}
 		}
 	}
 }
 
 // check fails when the last second saw more than the cap, or the shares in force pass it.
-func (s *stage) check() error {
+func (s *simulation) check() error {
 	for len(s.uses) > 0 && s.now.Sub(s.uses[0]) >= limiter.Span {
 		s.uses = s.uses[1:]
 	}
@@ -190,7 +190,7 @@
 		return fmt.Errorf("%d uses in one second pass the cap of %d", len(s.uses), testCap)
 	}
 	var sum int64
-	for _, u := range s.users {
+	for _, u := range s.instances {
 		sum += u.Limit(s.now, resource)
 	}
 	if sum > testCap {
@@ -199,8 +199,8 @@
 	return nil
 }
 
-func play(seed uint64, build func(since time.Time) server) (*stage, error) {
-	s := newStage(seed, build)
+func run(seed uint64, build func(since time.Time) renewer) (*simulation, error) {
+	s := newSimulation(seed, build)
 	for range testSteps {
 		if err := s.step(); err != nil {
 			return s, err
@@ -215,7 +215,7 @@
 func TestSharesStayUnderTheCap(t *testing.T) {
 	served, schedules := 0, 0
 	rapid.Check(t, func(rt *rapid.T) {
-		s, err := play(rapid.Uint64().Draw(rt, "seed"), realLeader)
+		s, err := run(rapid.Uint64().Draw(rt, "seed"), realLeader)
 		if err != nil {
 			rt.Fatalf("%v", err)
 		}
@@ -227,9 +227,9 @@
 	t.Logf("%d uses in %d schedules", served, schedules)
 }
 
-func breaks(build func(since time.Time) server) error {
+func firstViolation(build func(since time.Time) renewer) error {
 	for seed := range uint64(500) {
-		if _, err := play(seed, build); err != nil {
+		if _, err := run(seed, build); err != nil {
 			return err
 		}
 	}
@@ -238,18 +238,18 @@
 
 // A leader raises one instance's share before another has given up its own. For a moment both use it, and
 // the region gets more than it can take.
-func TestNaiveRaisePassesTheCap(t *testing.T) {
+func TestImmediateRaiseExceedsTheCap(t *testing.T) {
 	is := is.New(t)
-	err := breaks(naiveLeader)
+	err := firstViolation(naiveLeader)
 	is.True(err != nil) // raising at once must be caught, or the schedules are too tame
 	t.Log(err)
 }
 
 // A new leader starts with empty books while instances still use what the former one granted. It gives
 // the same share away a second time.
-func TestNaiveSuccessorPassesTheCap(t *testing.T) {
+func TestNewLeaderWithoutGraceExceedsTheCap(t *testing.T) {
 	is := is.New(t)
-	err := breaks(forgetful)
+	err := firstViolation(leaderWithoutGrace)
 	is.True(err != nil) // forgetting the former leader's grants must be caught
 	t.Log(err)
 }
