--- a/core/admitter/admitter.go
+++ b/core/admitter/admitter.go
@@ -1,5 +1,6 @@
-// Package admitter decides in which order requests get to the targets of a service, and which are
-// refused. It is a state machine under one lock: Offer, Done and Expire return what they decided.
+// Package admitter decides in which order requests are sent to the targets of a service, and which are refused. Its
+// state machine does no locking and starts no goroutines: Offer, Done, Cancel, Expire and SetCapacity return what they
+// decided, and the caller holds one lock.
 package admitter
 
 import (
@@ -9,21 +10,24 @@
 )
 
 const (
-	// uploadFloorDivisor is the share of capacity that waiting uploads always get: a fifth.
+	// uploadFloorDivisor defines the share of the capacity that waiting uploads always get: a fifth.
 	uploadFloorDivisor = 5
-	// uploadCeilingDivisor is the share that uploads may fill: half. They are slow, and would otherwise
-	// leave an urgent look-up nothing but to wait for one of them.
+	// uploadCeilingDivisor defines the share that uploads may use: half. They are slow, and without a limit an urgent
+	// look-up would have to wait for one of them to end.
 	uploadCeilingDivisor = 2
-	// browseReserveDivisor is the share of capacity that browsing leaves free for what is more urgent: a tenth.
+	// browseReserveDivisor defines the share of the capacity that browsing leaves free for more urgent classes: a
+	// tenth.
 	browseReserveDivisor = 10
-	// queueFactor bounds a class's queue, in multiples of the capacity.
+	// queueFactor limits the length of a class's queue, as a multiple of the capacity; minQueue is the least limit.
 	queueFactor = 8
 	minQueue    = 16
-	// smoothing is the weight of the newest service time: an eighth.
+	// smoothing is the divisor of the exponential moving average of service times: the newest one has a weight of an
+	// eighth.
 	smoothing = 8
 )
 
-// maxWait is how long a request of each class may wait here; a caller's earlier deadline goes first.
+// maxWait is how long a request of each class may wait in the queue; an earlier deadline of the caller takes
+// precedence.
 var maxWait = map[cataloguer.Class]time.Duration{
 	cataloguer.Urgent: 2 * time.Second,
 	cataloguer.Once:   5 * time.Second,
@@ -31,13 +35,13 @@
 	cataloguer.Browse: time.Second,
 }
 
-// Ticket is one request at the door. Set the exported fields, then Offer it.
+// Ticket represents one request. Set the exported fields, then pass it to Offer.
 type Ticket struct {
 	Class        cataloguer.Class
 	Organisation string
-	// Deadline is when the caller stops waiting; zero means it did not say.
+	// Deadline is when the caller stops waiting, zero if it is not known.
 	Deadline time.Time
-	// Decided receives the decision on a ticket that has to wait; it needs room for one.
+	// Decided receives the decision on a ticket that has to wait; it needs a buffer of one.
 	Decided chan Decision
 
 	expires time.Time
@@ -54,27 +58,27 @@
 	stateEnded
 )
 
-// Decision is what happened to a ticket.
+// Decision is the outcome of a ticket.
 type Decision struct {
 	Admitted bool
-	// Retry is when a refused caller should come back.
+	// Retry is when a refused caller should try again.
 	Retry time.Time
 	// Reason is a single word for logs.
 	Reason string
 }
 
-// Admitter is the door of one service. Its zero value has no capacity; call SetCapacity.
+// Admitter admits the requests of one service. Its zero value has no capacity; call SetCapacity.
 type Admitter struct {
 	capacity       int
 	running        int
 	byClass        map[cataloguer.Class]int
 	byOrganisation map[string]int
 	queues         map[cataloguer.Class][]*Ticket
-	// serviceTime is the smoothed time that a request holds its place.
+	// serviceTime is the smoothed time that a request other than an upload runs.
 	serviceTime time.Duration
 }
 
-// SetCapacity changes how many requests may run at once, and admits what now fits.
+// SetCapacity changes how many requests may run at once, and returns the waiting tickets that are admitted by that.
 func (a *Admitter) SetCapacity(now time.Time, n int) []*Ticket {
 	a.init()
 	a.capacity = n
@@ -92,10 +96,10 @@
 // Capacity returns how many requests may run at once.
 func (a *Admitter) Capacity() int { return a.capacity }
 
-// Running returns how many run.
+// Running returns how many requests run.
 func (a *Admitter) Running() int { return a.running }
 
-// Waiting returns how many wait.
+// Waiting returns how many requests wait.
 func (a *Admitter) Waiting() int {
 	n := 0
 	for _, q := range a.queues {
@@ -104,7 +108,7 @@
 	return n
 }
 
-// Offer admits a ticket, refuses it, or lets it wait; the last is reported by false.
+// Offer admits a ticket, refuses it, or queues it; the result is false if it was queued.
 func (a *Admitter) Offer(now time.Time, t *Ticket) (Decision, bool) {
 	a.init()
 	t.expires = now.Add(maxWait[t.Class])
@@ -118,8 +122,8 @@
 	if len(a.queues[t.Class]) >= a.queueBound() {
 		return a.refuse(now, t, "queue"), true
 	}
-	// A request that would only wait until it is too late is told so now: the caller can act on it, and
-	// the queue stays short for those that can still be answered.
+	// A request that would time out in the queue is refused at once: the caller can act on it, and the queue stays
+	// short for requests that can still be answered.
 	if now.Add(a.expectedWait(t.Class)).After(t.expires) {
 		return a.refuse(now, t, "late"), true
 	}
@@ -135,14 +139,14 @@
 
 const minRetry = time.Second
 
-// retryAfter tells a caller to come back when the queue as it stands will have drained.
+// retryAfter returns how long the queue in its present state takes to drain, and at least minRetry.
 func (a *Admitter) retryAfter(c cataloguer.Class) time.Duration {
 	return max(minRetry, a.expectedWait(c))
 }
 
 func (a *Admitter) queueBound() int { return max(minQueue, queueFactor*a.capacity) }
 
-// waitingAhead counts who waits in the same or a more urgent class.
+// waitingAhead counts the waiting requests of the same and more urgent classes.
 func (a *Admitter) waitingAhead(c cataloguer.Class) int {
 	n := 0
 	for _, o := range cataloguer.Classes() {
@@ -160,7 +164,7 @@
 	return a.serviceTime * time.Duration(a.waitingAhead(c)+1) / time.Duration(a.capacity)
 }
 
-// fits reports whether one more of the class may run now.
+// fits reports whether one more request of the class may run now.
 func (a *Admitter) fits(c cataloguer.Class) bool {
 	switch c {
 	case cataloguer.Upload:
@@ -182,7 +186,7 @@
 	a.byOrganisation[t.Organisation]++
 }
 
-// Done ends a running ticket and returns the tickets that are admitted in its place.
+// Done ends a running ticket and returns the waiting tickets that are admitted in its place.
 func (a *Admitter) Done(now time.Time, t *Ticket) []*Ticket {
 	if t.state != stateRunning {
 		return nil
@@ -200,7 +204,7 @@
 	return a.fill(now)
 }
 
-// Cancel takes a ticket out whose caller has gone; a running one is ended.
+// Cancel removes a ticket whose caller has disconnected. If it was running, it is ended as by Done.
 func (a *Admitter) Cancel(now time.Time, t *Ticket) []*Ticket {
 	if t.state == stateRunning {
 		return a.Done(now, t)
@@ -220,7 +224,7 @@
 	}
 }
 
-// Expire refuses the waiting tickets whose time is up, and returns them.
+// Expire refuses the waiting tickets that have waited too long, and returns them.
 func (a *Admitter) Expire(now time.Time) []*Ticket {
 	var out []*Ticket
 	for class, q := range a.queues {
@@ -238,12 +242,12 @@
 	return out
 }
 
-// RetryAt is when a caller refused now should come back.
+// RetryAt returns when a caller that is refused now should try again.
 func (a *Admitter) RetryAt(now time.Time, c cataloguer.Class) time.Time {
 	return now.Add(a.retryAfter(c))
 }
 
-// fill admits waiting tickets while there is room.
+// fill admits waiting tickets while there is capacity.
 func (a *Admitter) fill(now time.Time) []*Ticket {
 	var out []*Ticket
 	for {
@@ -257,7 +261,7 @@
 	}
 }
 
-// next picks the waiting ticket to admit: uploads below their floor, then by urgency.
+// next selects the waiting ticket to admit: uploads while they are below their floor, then by urgency.
 func (a *Admitter) next(now time.Time) *Ticket {
 	floor := max(1, a.capacity/uploadFloorDivisor)
 	if a.byClass[cataloguer.Upload] < floor && a.fits(cataloguer.Upload) {
@@ -276,8 +280,8 @@
 	return nil
 }
 
-// fairest picks the oldest ticket of the organisation that has least running, so that one organisation's peak waits
-// behind itself and not in front of the others.
+// fairest selects the oldest ticket of the organisation with the fewest running requests, so that a peak of one
+// organisation does not delay the others.
 func (a *Admitter) fairest(now time.Time, c cataloguer.Class) *Ticket {
 	var best *Ticket
 	for _, t := range a.queues[c] {
--- a/core/admitter/admitter_test.go
+++ b/core/admitter/admitter_test.go
@@ -40,8 +40,7 @@
 	return out
 }
 
-// On the night of an event browsing fills every slot, and a venue change is looked up. It must be next,
-// however many others came before.
+// Guards against an urgent request that waits behind less urgent ones which fill the capacity and came earlier.
 func TestUrgentIsAdmittedFirst(t *testing.T) {
 	is := is.New(t)
 	a := newAdmitter(10)
@@ -61,8 +60,7 @@
 	assertOffer(t, a, ticket(cataloguer.Urgent, "club"), true, true)
 }
 
-// Organisers upload photo packs while urgent look-ups never pause. Without a share of their own the
-// uploads would wait until the organisers give up.
+// Guards against uploads that never run while urgent requests keep coming.
 func TestUploadsHaveAMinimumShare(t *testing.T) {
 	is := is.New(t)
 	a := newAdmitter(10)
@@ -74,7 +72,7 @@
 	second := a.Done(start, running[1])
 	is.Equal(second[0], uploads[1])
 	third := a.Done(start, running[2])
-	is.Equal(third[0].Class, cataloguer.Urgent) // the share is used up
+	is.Equal(third[0].Class, cataloguer.Urgent) // the floor is reached
 }
 
 func TestUploadsStayBelowCeiling(t *testing.T) {
@@ -85,8 +83,7 @@
 	assertOffer(t, a, ticket(cataloguer.Urgent, "club"), true, true)
 }
 
-// Rival clubs peak together, and one sends ten times as much. Its requests must wait behind each other and
-// not in front of the other club's.
+// Guards against one organisation's peak delaying another's: its requests must wait behind each other only.
 func TestOrganisationsShareFairly(t *testing.T) {
 	is := is.New(t)
 	a := newAdmitter(4)
@@ -123,7 +120,7 @@
 		fill(a, cataloguer.Browse, "club", 1)
 		late := start.Add(maxWait[cataloguer.Browse])
 		is.Equal(len(a.Expire(late)), 1)
-		is.Equal(len(a.Done(late, running[0])), 0) // nothing runs after its answer was given
+		is.Equal(len(a.Done(late, running[0])), 0) // a ticket does not run after it was refused
 	})
 }
 
@@ -134,6 +131,6 @@
 	waiting := fill(a, cataloguer.Once, "club", 2)
 	a.Cancel(start, waiting[0])
 	is.Equal(a.Cancel(start, running[0])[0], waiting[1])
-	is.Equal(len(a.Done(start, running[0])), 0) // ending twice gives no second place
+	is.Equal(len(a.Done(start, running[0])), 0) // ending a ticket twice frees capacity once
 	is.Equal(a.Running(), 1)
 }
--- a/core/granter/errors.go
+++ b/core/granter/errors.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// SequenceError says that a renewal came after a later one of the same holder.
+// SequenceError reports a renewal that arrived after a later one of the same holder.
 type SequenceError struct {
 	Holder string
 	Got    uint64
--- a/core/granter/granter.go
+++ b/core/granter/granter.go
@@ -1,5 +1,5 @@
-// Package granter divides shared limits among entry instances as leased shares. The shares that could
-// still be in force never add up to more than the limit, whatever messages are lost, late or doubled.
+// Package granter divides shared limits among entry instances as leased shares. The shares that could still be in force
+// never add up to more than the limit, whatever messages are lost, late or duplicated.
 package granter
 
 import (
@@ -11,18 +11,18 @@
 	"chervilrail.example/core/wire"
 )
 
-// driftDivisor is the share of a lease given up to clocks that run at different rates: 1/50.
+// driftDivisor defines the share of a lease that is added for clocks running at different rates: 1/50.
 const driftDivisor = 50
 
-// HolderID names one run of an entry instance.
+// HolderID identifies one run of an entry instance.
 type HolderID struct {
 	Name        string
 	Incarnation uint64
 }
 
-// Granter is the granting side, owned by the leader. Set the exported fields before use.
+// Granter grants shares to holders. It is owned by the leader. Set the exported fields before use.
 type Granter struct {
-	// Lease is how long a share may be used, counted by the holder from when it asked.
+	// Lease is how long a share may be used, counted by the holder from when it sent its request.
 	Lease time.Duration
 	// ElectedAt is when this leader was elected.
 	ElectedAt time.Time
@@ -46,7 +46,7 @@
 	wanted int64
 }
 
-// SetLimits replaces the limits; a lowered one takes effect as the holders renew or their leases end.
+// SetLimits replaces the limits. A lowered limit takes effect as the holders renew or their leases expire.
 func (g *Granter) SetLimits(limits []cataloguer.Limit) {
 	g.limits = map[string]cataloguer.Limit{}
 	for _, l := range limits {
@@ -54,18 +54,18 @@
 	}
 }
 
-// grace is how long a grant can outlive the moment of its answer: the lease, the clocks' drift, and the
-// window over which a holder's use is counted.
+// grace returns how long a grant can be in effect after the answer that contains it: the lease, the drift of the
+// clocks, and the window over which a holder's use is counted.
 func (g *Granter) grace() time.Duration {
 	return g.Lease + g.Lease/driftDivisor + limiter.Span
 }
 
-// Renew answers one request of a holder. A request older than one already answered gets a SequenceError.
+// Renew answers one request of a holder. It returns a SequenceError for a request older than one already answered.
 func (g *Granter) Renew(now time.Time, id HolderID, sequence uint64, holdings []*wire.Holding) ([]*wire.Grant, error) {
 	g.expire(now)
 	h := g.holder(id)
 	if sequence <= h.sequence {
-		// A late duplicate reports shares that have changed since; believing it could count too little.
+		// A late duplicate reports shares that have changed since; using it could count too little.
 		return nil, &SequenceError{Holder: id.Name, Got: sequence, Last: h.sequence}
 	}
 	h.sequence = sequence
@@ -90,8 +90,8 @@
 	return h
 }
 
-// recordHoldings takes the holder's word for what it holds: it ignores every answer to an earlier request, so no
-// earlier and larger grant can come into force after this report. What it does not mention it does not hold.
+// recordHoldings replaces the holder's shares by those that it reports; what it does not mention it does not hold. The
+// holder ignores answers to earlier requests, so no earlier and larger grant can come into force after this report.
 func (g *Granter) recordHoldings(h *holder, holdings []*wire.Holding) {
 	shares := map[string]*share{}
 	for _, o := range holdings {
@@ -111,9 +111,9 @@
 		return &wire.Grant{Resource: o.GetResource()}
 	}
 	amount := min(g.target(limit, id), limit.Cap-g.outstandingExcept(o.GetResource(), id))
-	// The former leader may have granted to holders that have not yet reported here. Until all that has
-	// ended, a holder keeps at most what it already has in force. Use that only still counts in its window
-	// is no such share: its lease may be long over.
+	// The previous leader may have granted to holders that have not reported to this one. Until all its grants have
+	// expired, a holder keeps at most what it has in force. Use that only still counts in its window is not included:
+	// its lease may have expired long before.
 	if now.Before(g.ElectedAt.Add(g.grace())) {
 		amount = min(amount, s.held)
 	}
@@ -122,6 +122,7 @@
 	return &wire.Grant{Resource: o.GetResource(), Share: amount}
 }
 
+// outstandingExcept returns the most that holders other than id could be using of a resource.
 func (g *Granter) outstandingExcept(resource string, id HolderID) int64 {
 	var sum int64
 	for o, h := range g.holders {
@@ -135,14 +136,13 @@
 	return sum
 }
 
-// unclaimedDivisor is the part of what nobody wants that is granted all the same: a half. The other half stays
-// free, so that a sudden peak at one instance gets it with its next renewal. Were all of it granted, the
-// peak would have to wait until every other instance has renewed twice: to hear that its share shrinks,
-// and to confirm that it did.
+// unclaimedDivisor defines the part of the unclaimed limit that is granted anyway: a half. The other half stays free,
+// so that a sudden peak at one instance is granted with its next renewal. If all of it were granted, the peak would
+// have to wait until every other instance has renewed twice: once to receive its smaller share, and once to confirm it.
 const unclaimedDivisor = 2
 
-// target is the holder's fair part: the floor for everyone, then what each wants as far as equal parts
-// allow, then equal parts of half the rest.
+// target returns the holder's fair share: the floor for every holder, then what each wants as far as equal parts allow,
+// then equal parts of half the unclaimed rest.
 func (g *Granter) target(limit cataloguer.Limit, id HolderID) int64 {
 	wantedAmounts := g.wantedAmounts(limit)
 	count := int64(len(wantedAmounts))
@@ -173,7 +173,8 @@
 	return max(limit.Floor, h.shares[limit.Resource].wanted)
 }
 
-// waterLevel returns the largest part such that giving each at most that part fits the cap.
+// waterLevel returns the largest amount such that the limit suffices if each gets its wanted amount up to that one
+// (max-min fairness). The wanted amounts are sorted in ascending order.
 func waterLevel(sorted []int64, limit int64) int64 {
 	rest := limit
 	for i, w := range sorted {
--- a/core/granter/granter_test.go
+++ b/core/granter/granter_test.go
@@ -11,7 +11,7 @@
 	"chervilrail.example/core/wire"
 )
 
-// settle lets all holders renew in turn until the shares no longer move; the first has demand meanwhile.
+// settle lets all holders renew in turn until the shares are stable. The first one has the given demand.
 func settle(t *testing.T, now time.Time, g *Granter, instances []*instance, demand int64) time.Time {
 	t.Helper()
 	is := is.New(t)
@@ -79,8 +79,8 @@
 	})
 }
 
-// A cap is lowered in the catalogue. Until all instances have renewed or lost their leases the old shares
-// are in force; after that the new cap must hold, whoever was frozen meanwhile.
+// Guards against a lowered cap that is exceeded after all instances have renewed or lost their leases, including one
+// that was frozen when the cap changed.
 func TestLoweredCapHoldsAfterLeasesExpire(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
@@ -100,9 +100,9 @@
 	is.True(sum >= 28) // and is used again once the frozen instance's lease has ended
 }
 
-// An instance's request to renew its share is late. Its lease ends meanwhile, the leader gives the share to
-// another instance and is then replaced. The new leader, which knows nobody yet, renews what the late
-// request claims to hold: both instances use the same share, and the region gets twice its cap.
+// Guards against two instances that use the same share. A renewal is late, the lease of its sender expires, the leader
+// grants the share to another instance and is then replaced. The new leader has no records and renews what the late
+// request reports as held.
 func TestLateRenewalAfterExpiryIsIgnored(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
--- a/core/granter/holder.go
+++ b/core/granter/holder.go
@@ -8,17 +8,17 @@
 	"chervilrail.example/core/wire"
 )
 
-// headroomDivisor is the headroom that a holder asks for above its demand: a quarter.
+// headroomDivisor defines the headroom that a holder requests above its demand: a quarter.
 const headroomDivisor = 4
 
-// Holder is the using side, in an entry instance. Its methods are safe for concurrent use.
+// Holder keeps the shares of one entry instance and counts their use. Its methods are safe for concurrent use.
 type Holder struct {
 	mu       sync.Mutex
 	sequence uint64
 	sent     time.Time
-	// renewing is set when the latest request reported shares in force.
+	// renewing is set if the latest request reported shares in force.
 	renewing bool
-	// deadline ends every share at once; it counts from when the accepted request was sent.
+	// deadline is when all shares expire. It is counted from when the accepted request was sent.
 	deadline time.Time
 	shares   map[string]*heldShare
 }
@@ -30,11 +30,11 @@
 	demand limiter.Window
 }
 
-// unlimited lets the demand window count without refusing.
+// unlimited is the limit of windows that count without refusing.
 const unlimited = int64(1) << 62
 
-// SetResources sets which resources are held; others are given up once their use has left the window. Dropped
-// at once, a limit that a later change brings back would not count what was used just before.
+// SetResources sets for which resources shares are held. Others are dropped once their use has left the window: if they
+// were dropped at once and added again by a later change, the use just before would not be counted.
 func (h *Holder) SetResources(now time.Time, resources []string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -59,8 +59,8 @@
 	}
 }
 
-// Request starts a new round and returns its sequence and what is held. From here on, answers to
-// earlier rounds are ignored.
+// Request starts a new round and returns its sequence and what is held. From then on, answers to earlier rounds are
+// ignored.
 func (h *Holder) Request(now time.Time) (uint64, []*wire.Holding) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -84,7 +84,7 @@
 	return h.sequence, out
 }
 
-// Accept puts an answer in force if it belongs to the latest round.
+// Accept puts an answer in force and returns true if it belongs to the latest round and its lease has not expired.
 func (h *Holder) Accept(now time.Time, sequence uint64, lease time.Duration, grants []*wire.Grant) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -92,9 +92,9 @@
 	if sequence != h.sequence || !now.Before(deadline) {
 		return false
 	}
-	// A new leader renews what a request says is held, because the former one still counted it. That is
-	// true only while the lease goes on: after a lapse the former leader may have given the share away,
-	// and taking it up again would let two instances use it.
+	// A new leader renews what a request reports as held, because the previous leader still counted it. That holds only
+	// while the lease is valid: once it has expired, the previous leader may have granted the share to others, and two
+	// instances would use it.
 	if h.renewing && !now.Before(h.deadline) {
 		return false
 	}
@@ -107,7 +107,7 @@
 	return true
 }
 
-// Demand counts units that would be used if all were granted.
+// Demand counts units that would be used if all of them were granted.
 func (h *Holder) Demand(now time.Time, resource string, n int64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -116,8 +116,8 @@
 	}
 }
 
-// Take uses n units of a share. It refuses when the share or its lease is used up. A resource that is
-// not watched has no limit.
+// Take uses n units of a share. It returns false when the share is used up or its lease has expired. A resource that is
+// not set has no limit.
 func (h *Holder) Take(now time.Time, resource string, n int64) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -134,7 +134,7 @@
 	return p.window.Take(now, p.limit, n)
 }
 
-// Available returns how many units could be taken now.
+// Available returns how many units can be taken now.
 func (h *Holder) Available(now time.Time, resource string) int64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -148,7 +148,7 @@
 	return max(0, p.limit-p.window.Used(now))
 }
 
-// Limit returns the share in force, for metrics.
+// Limit returns the share in force, zero if there is none.
 func (h *Holder) Limit(now time.Time, resource string) int64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/core/granter/schedule_test.go
+++ b/core/granter/schedule_test.go
@@ -16,7 +16,7 @@
 	"chervilrail.example/core/wire"
 )
 
-// TestMain fixes the seed, so that every run gives the same verdict; -rapid.seed chooses another.
+// TestMain fixes the seed to make runs reproducible; -rapid.seed sets another one.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if flag.Lookup("rapid.seed").Value.String() == "0" {
@@ -33,12 +33,12 @@
 	resource  = "region:almaty"
 )
 
-// renewer is what both the real and the naive leaders offer.
+// renewer is implemented by the real and the naive leader.
 type renewer interface {
 	Renew(now time.Time, id HolderID, sequence uint64, holdings []*wire.Holding) ([]*wire.Grant, error)
 }
 
-// naive gives every holder its fair part at once, without waiting until those that hold more gave it up.
+// naive grants every holder its fair share at once, without waiting until others have given up the excess.
 type naive struct{ Granter }
 
 func (n *naive) Renew(now time.Time, id HolderID, sequence uint64, holdings []*wire.Holding) ([]*wire.Grant, error) {
@@ -70,7 +70,7 @@
 	holdings []*wire.Holding
 }
 
-// simulation is a leader, its holders and the messages between them.
+// simulation is a leader, its holders and the messages in flight between them.
 type simulation struct {
 	random    *rand.Rand
 	now       time.Time
@@ -106,7 +106,7 @@
 	return &naive{*g}
 }
 
-// leaderWithoutGrace is a new leader that does not wait until the grants of the former one have ended.
+// leaderWithoutGrace returns a new leader that does not wait until the grants of the previous one have expired.
 func leaderWithoutGrace(time.Time) renewer { return realLeader(time.Time{}) }
 
 func (s *simulation) step() error {
@@ -155,7 +155,7 @@
 	}
 }
 
-// deliverMessages delivers some messages late, doubled, out of order or not at all.
+// deliverMessages delivers some messages, others late, twice, out of order or not at all.
 func (s *simulation) deliverMessages() {
 	for range s.random.IntN(8) {
 		if len(s.requests) > 0 {
@@ -181,13 +181,13 @@
 	}
 }
 
-// check fails when the last second saw more than the cap, or the shares in force pass it.
+// check returns an error if the uses of the last second or the shares in force exceed the cap.
 func (s *simulation) check() error {
 	for len(s.uses) > 0 && s.now.Sub(s.uses[0]) >= limiter.Span {
 		s.uses = s.uses[1:]
 	}
 	if len(s.uses) > testCap {
-		return fmt.Errorf("%d uses in one second pass the cap of %d", len(s.uses), testCap)
+		return fmt.Errorf("%d uses in one second exceed the cap of %d", len(s.uses), testCap)
 	}
 	var sum int64
 	for _, u := range s.instances {
@@ -209,9 +209,8 @@
 	return s, nil
 }
 
-// Entry instances share a region's cap while messages are lost, late, doubled and reordered, instances
-// freeze and restart, and leaders change. If the shares could add up to more than the cap, the region
-// would be overloaded by a decision of the system.
+// Guards against shares that add up to more than a region's cap, which would overload the region. Messages are lost,
+// late, duplicated and reordered, instances freeze and restart, and leaders change.
 func TestSharesStayUnderTheCap(t *testing.T) {
 	served, schedules := 0, 0
 	rapid.Check(t, func(rt *rapid.T) {
@@ -223,7 +222,7 @@
 		schedules++
 	})
 	is := is.New(t)
-	is.True(served > 50*schedules) // the shares must let work through, not only hold it back
+	is.True(served > 50*schedules) // the shares must admit work, not only limit it
 	t.Logf("%d uses in %d schedules", served, schedules)
 }
 
@@ -236,20 +235,20 @@
 	return nil
 }
 
-// A leader raises one instance's share before another has given up its own. For a moment both use it, and
-// the region gets more than it can take.
+// Checks that the schedules detect a leader that raises one instance's share before another has given up its own, so
+// that both use it for a moment.
 func TestImmediateRaiseExceedsTheCap(t *testing.T) {
 	is := is.New(t)
 	err := firstViolation(naiveLeader)
-	is.True(err != nil) // raising at once must be caught, or the schedules are too tame
+	is.True(err != nil) // if this is not detected, the schedules are too weak
 	t.Log(err)
 }
 
-// A new leader starts with empty books while instances still use what the former one granted. It gives
-// the same share away a second time.
+// Checks that the schedules detect a new leader without records that grants a share again while instances still use
+// what the previous leader granted.
 func TestNewLeaderWithoutGraceExceedsTheCap(t *testing.T) {
 	is := is.New(t)
 	err := firstViolation(leaderWithoutGrace)
-	is.True(err != nil) // forgetting the former leader's grants must be caught
+	is.True(err != nil) // if this is not detected, the schedules are too weak
 	t.Log(err)
 }
