--- a/entry/internal/enforcer/admit.go
+++ b/entry/internal/enforcer/admit.go
@@ -13,39 +13,39 @@
 )
 
 const (
-	// again is after what another instance is asked again.
-	again = 20 * time.Millisecond
-	// minPatience is how long a request waits for a part at least: two calls. It waits longer while it can be on time, and for
-	// patienceParts of its time at most.
-	minPatience   = 300 * time.Millisecond
-	patienceParts = 4
+	// peerRetryDelay is the pause before another instance is asked again.
+	peerRetryDelay = 20 * time.Millisecond
+	// minWait is the least time that a request waits for a part: two calls. It waits longer if it can still be on time,
+	// up to the fraction 1/waitDivisor of the time to its deadline, which takes precedence.
+	minWait     = 300 * time.Millisecond
+	waitDivisor = 4
 )
 
-// Admit decides on a request of an organisation, after a moment where its quota has room that is not held here. Start is
-// until when the request has to start to be on time.
+// Admit decides on a request of an organisation. It waits a moment if the quota may have room that is not held here.
+// The request is on time if it starts before start.
 func (a *Enforcer) Admit(ctx context.Context, organisation string, start, deadline time.Time) quoter.Verdict {
 	now := time.Now()
-	until := now.Add(min(max(minPatience, start.Sub(now)), deadline.Sub(now)/patienceParts))
+	until := now.Add(min(max(minWait, start.Sub(now)), deadline.Sub(now)/waitDivisor))
 	v := quoter.Verdict{Outcome: quoter.Unknown}
 	for {
 		owner := a.owner(organisation)
 		if owner.Name == a.Self.GetName() {
-			return a.admit(ctx, organisation, until)
+			return a.admitHere(ctx, organisation, until)
 		}
-		due, free := a.turns.take(time.Now(), organisation)
-		if free {
-			v = a.borrow(ctx, owner, organisation)
+		retryAt, allowed := a.backoffs.allow(time.Now(), organisation)
+		if allowed {
+			v = a.askOwner(ctx, owner, organisation)
 			if v.Outcome != quoter.Lacking && v.Outcome != quoter.Unknown {
 				return v
 			}
-			// One that did not answer is left out, and another takes its place. One that lacks parts has waited already;
-			// one that does not know the organisation yet says so at once.
-			due = time.Now().Add(again)
+			// An instance that did not answer is left out and replaced by another one. One that lacks parts has waited
+			// already. One that does not know the organisation yet answers at once.
+			retryAt = time.Now().Add(peerRetryDelay)
 		}
 		select {
 		case <-ctx.Done():
 			return v
-		case <-time.After(min(time.Until(due), time.Until(until))):
+		case <-time.After(min(time.Until(retryAt), time.Until(until))):
 		}
 		if !time.Now().Before(until) {
 			return v
@@ -53,38 +53,38 @@
 	}
 }
 
-// owner is the instance that holds an organisation's part for requests that come here.
+// owner returns the instance that holds an organisation's part for requests that arrive here.
 func (a *Enforcer) owner(organisation string) locator.Peer {
 	a.mu.Lock()
-	pooled, near := a.holder.Pooled(organisation), a.near
+	pooled, regionPeers := a.holder.Pooled(organisation), a.regionPeers
 	a.mu.Unlock()
 	if !pooled {
 		return locator.Peer{Name: a.Self.GetName()}
 	}
-	return a.Peers.Owner(near, keyOf(organisation))
+	return a.Peers.Owner(regionPeers, keyOf(organisation))
 }
 
-// borrow has another instance count a request.
-func (a *Enforcer) borrow(ctx context.Context, owner locator.Peer, organisation string) quoter.Verdict {
+// askOwner has another instance count a request.
+func (a *Enforcer) askOwner(ctx context.Context, owner locator.Peer, organisation string) quoter.Verdict {
 	asked := time.Now()
 	r, err := a.Peers.Ask(ctx, owner, &wire.SpendRequest{Organisation: organisation})
 	now := time.Now()
 	if err != nil {
-		a.turns.done(now, asked, organisation, false)
+		a.backoffs.record(now, asked, organisation, false)
 		return quoter.Verdict{Outcome: quoter.Unknown, Peer: owner.Name}
 	}
 	out := quoter.Verdict{
-		Outcome: quoter.Outcome(slices.Index(outcomes, r.GetOutcome())), RetryAt: now.Add(time.Duration(r.GetRetry())), Held: r.GetHeld(), Used: r.GetUsed(),
-		RenewedAt: now.Add(-time.Duration(r.GetAge())), Peer: owner.Name,
+		Outcome: quoter.Outcome(slices.Index(outcomes, r.GetOutcome())), RetryAt: now.Add(time.Duration(r.GetRetry())),
+		Held: r.GetHeld(), Used: r.GetUsed(), RenewedAt: now.Add(-time.Duration(r.GetAge())), Peer: owner.Name,
 	}
-	a.turns.done(now, asked, organisation, out.Outcome != quoter.Unknown)
+	a.backoffs.record(now, asked, organisation, out.Outcome != quoter.Unknown)
 	if out.Outcome == quoter.Granted {
 		out.CountedAt = now
 	}
 	return out
 }
 
-// outcomes are what outcomes are called between instances.
+// outcomes maps outcomes to their values on the wire.
 var outcomes = []wire.QuotaOutcome{
 	quoter.Granted:  wire.QuotaOutcome_QUOTA_GRANTED,
 	quoter.Lacking:  wire.QuotaOutcome_QUOTA_LACKING,
@@ -96,17 +96,17 @@
 func (a *Enforcer) Spend(ctx context.Context, r *wire.SpendRequest) *wire.SpendResponse {
 	now := time.Now()
 	if r.GetReturned() {
-		a.giveBack(now, r.GetOrganisation(), quoter.Verdict{CountedAt: now.Add(-time.Duration(r.GetAge()))})
+		a.returnHere(now, r.GetOrganisation(), quoter.Verdict{CountedAt: now.Add(-time.Duration(r.GetAge()))})
 		return &wire.SpendResponse{}
 	}
 	a.mu.Lock()
 	limited := a.holder.Limited(r.GetOrganisation())
 	a.mu.Unlock()
 	if !limited {
-		// The asker has a newer plan, or an older one.
+		// The calling instance has a newer or an older plan.
 		return &wire.SpendResponse{Outcome: wire.QuotaOutcome_QUOTA_UNKNOWN}
 	}
-	v := a.admit(ctx, r.GetOrganisation(), now.Add(locator.SpendWithin))
+	v := a.admitHere(ctx, r.GetOrganisation(), now.Add(locator.SpendWithin))
 	out := &wire.SpendResponse{Outcome: outcomes[v.Outcome], Held: v.Held, Used: v.Used, Age: int64(v.Age(now))}
 	if !v.RetryAt.IsZero() {
 		out.Retry = int64(max(0, time.Until(v.RetryAt)))
@@ -114,8 +114,8 @@
 	return out
 }
 
-// admit decides by the part that is held here, and waits for more until a time.
-func (a *Enforcer) admit(ctx context.Context, organisation string, until time.Time) quoter.Verdict {
+// admitHere decides by the part that is held here, and waits until the given time for a larger one.
+func (a *Enforcer) admitHere(ctx context.Context, organisation string, until time.Time) quoter.Verdict {
 	v, answered := a.take(time.Now(), organisation, quoter.Verdict{})
 	if v.Outcome != quoter.Lacking && v.Outcome != quoter.Unknown {
 		return v
@@ -140,37 +140,38 @@
 	defer a.mu.Unlock()
 	v := a.holder.Take(now, organisation, last)
 	if v.Outcome == quoter.Lacking || v.Outcome == quoter.Unknown {
-		a.nudge()
+		a.wakeUp()
 	}
 	return v, a.answered
 }
 
-// Return takes back a request that was granted and has not run.
+// Return reverts the count of a request that was granted and has not run.
 func (a *Enforcer) Return(organisation string, v quoter.Verdict) {
 	if v.CountedAt.IsZero() {
 		return
 	}
 	if v.Peer == "" {
-		a.giveBack(time.Now(), organisation, v)
+		a.returnHere(time.Now(), organisation, v)
 		return
 	}
 	a.mu.Lock()
-	near := a.near
+	regionPeers := a.regionPeers
 	a.mu.Unlock()
-	if at := slices.IndexFunc(near, func(p locator.Peer) bool { return p.Name == v.Peer }); at >= 0 {
+	if at := slices.IndexFunc(regionPeers, func(p locator.Peer) bool { return p.Name == v.Peer }); at >= 0 {
 		// If the call fails, the request counts until it has left the window.
 		go func() {
-			_, err := a.Peers.Ask(context.Background(), near[at], &wire.SpendRequest{
+			_, err := a.Peers.Ask(context.Background(), regionPeers[at], &wire.SpendRequest{
 				Organisation: organisation, Returned: true, Age: int64(time.Since(v.CountedAt)),
 			})
 			if err != nil {
-				_ = level.Debug(a.Logger).Log("msg", "request not taken back", "organisation", organisation, "peer", v.Peer, "err", err)
+				_ = level.Debug(a.Logger).Log("msg", "request not returned to its quota", "organisation", organisation,
+					"peer", v.Peer, "err", err)
 			}
 		}()
 	}
 }
 
-func (a *Enforcer) giveBack(now time.Time, organisation string, v quoter.Verdict) {
+func (a *Enforcer) returnHere(now time.Time, organisation string, v quoter.Verdict) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.holder.Return(now, organisation, v)
--- a/entry/internal/enforcer/enforcer.go
+++ b/entry/internal/enforcer/enforcer.go
@@ -1,4 +1,4 @@
-// Package enforcer is the service that decides on requests by their organisations' quotas, and asks the controllers for the
+// Package enforcer enforces the quotas of organisations: it decides on requests, and requests from the controllers the
 // parts of quotas that this instance needs.
 package enforcer
 
@@ -25,23 +25,23 @@
 )
 
 const (
-	// callTimeout is two round trips between regions and a controller's work; a lost packet costs one more call.
+	// callTimeout covers two round trips between regions and a controller's work. A lost packet costs one more call.
 	callTimeout = 400 * time.Millisecond
-	// pause is waited after a call that failed.
-	pause = 100 * time.Millisecond
-	// minGather and maxGather bound how long needs are gathered for one call.
-	minGather = 20 * time.Millisecond
-	maxGather = 100 * time.Millisecond
-	// lookEvery is how often parts are looked at that no request asks for.
-	lookEvery = 250 * time.Millisecond
+	// failurePause is the pause after a failed call.
+	failurePause = 100 * time.Millisecond
+	// minBatchDelay and maxBatchDelay limit how long demand is collected for one call.
+	minBatchDelay = 20 * time.Millisecond
+	maxBatchDelay = 100 * time.Millisecond
+	// checkInterval is how often the service checks whether parts need to be renewed without demand.
+	checkInterval = 250 * time.Millisecond
 )
 
-// Controllers names the controller to ask, false if none is known.
+// Controllers provides the address of the controller to call, or false if none is known.
 type Controllers interface {
 	Controller() (netip.AddrPort, bool)
 }
 
-// Peers finds the entry instances of the region that hold parts for all, and asks them.
+// Peers finds the entry instances that hold the region's parts of quotas, and calls them.
 type Peers interface {
 	Owner(peers []locator.Peer, object uint64) locator.Peer
 	Ask(ctx context.Context, owner locator.Peer, r *wire.SpendRequest) (*wire.SpendResponse, error)
@@ -57,17 +57,17 @@
 
 	mu     sync.Mutex
 	holder quoter.Holder
-	// answered is closed and replaced when an answer has come.
+	// answered is closed and replaced after a call to a controller has succeeded or failed.
 	answered chan struct{}
 	wake     chan struct{}
 	failing  bool
-	turns    turns
-	// plan, entries and near are what the holder was last fitted to.
-	plan    *wire.Plan
-	entries int
-	near    []locator.Peer
-	// gather is how long needs are gathered before the next call: as long as the last one took.
-	gather time.Duration
+	backoffs backoffs
+	// plan, instances and regionPeers are what the holder was last updated with.
+	plan        *wire.Plan
+	instances   int
+	regionPeers []locator.Peer
+	// batchDelay is how long demand is collected before the next call: as long as the last call took, within bounds.
+	batchDelay time.Duration
 
 	client *http.Client
 	cancel context.CancelFunc
@@ -80,7 +80,7 @@
 // Health implements kernel.Service.
 func (a *Enforcer) Health() error { return nil }
 
-// Start begins to ask.
+// Start implements kernel.Service. It starts requesting parts, and fails if the client can't be created.
 func (a *Enforcer) Start(context.Context, kernel.Finder) error {
 	client, err := a.Dialer.Client()
 	if err != nil {
@@ -95,7 +95,7 @@
 	return nil
 }
 
-// Stop ends asking.
+// Stop implements kernel.Service. It waits until no call is in flight.
 func (a *Enforcer) Stop(context.Context) error {
 	if a.cancel != nil {
 		a.cancel()
@@ -105,7 +105,7 @@
 	return nil
 }
 
-// Update takes the organisations of the plan in force and the entry instances that share their quotas.
+// Update sets the organisations of the plan in force and the entry instances that share their quotas.
 func (a *Enforcer) Update(now time.Time, v *watcher.View) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -113,19 +113,20 @@
 		a.plan = v.Table.Plan
 		a.holder.Update(now, a.plan)
 	}
-	if a.entries != v.Entries || !slices.Equal(a.near, v.Peers) {
-		a.entries, a.near = v.Entries, v.Peers
+	if a.instances != v.Entries || !slices.Equal(a.regionPeers, v.Peers) {
+		a.instances, a.regionPeers = v.Entries, v.Peers
 		a.holder.SetFleet(quoter.Fleet{Total: v.Entries, InRegion: len(v.Peers), Owns: func(organisation string) bool {
 			return a.Peers.Owner(v.Peers, keyOf(organisation)).Name == a.Self.GetName()
 		}})
 	}
-	a.nudge()
+	a.wakeUp()
 }
 
-// keyOf tells an organisation from the objects that instances answer for.
+// keyOf returns the key that determines the owner of an organisation's part. The prefix keeps it apart from the objects
+// that instances own.
 func keyOf(organisation string) uint64 { return placer.ObjectOf("organisation/" + organisation) }
 
-func (a *Enforcer) nudge() {
+func (a *Enforcer) wakeUp() {
 	select {
 	case a.wake <- struct{}{}:
 	default:
@@ -134,7 +135,7 @@
 
 func (a *Enforcer) run(ctx context.Context) {
 	defer close(a.done)
-	ticker := time.NewTicker(lookEvery)
+	ticker := time.NewTicker(checkInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -146,43 +147,43 @@
 		if !a.due() {
 			continue
 		}
-		rest := a.gather
-		switch a.ask(ctx) {
+		pause := a.batchDelay
+		switch a.requestParts(ctx) {
 		case failed:
-			rest = pause
-			a.nudge()
+			pause = failurePause
+			a.wakeUp()
 		case incomplete:
-			a.nudge()
+			a.wakeUp()
 			continue
 		case complete:
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(rest):
+		case <-time.After(pause):
 		}
 	}
 }
 
-// due reports whether there is something to ask for.
+// due reports whether a call is due.
 func (a *Enforcer) due() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.holder.HasPending() || a.holder.RenewalDue(time.Now())
 }
 
-// ending is how a call ended.
-type ending int
+// callResult is the result of a call to a controller.
+type callResult int
 
 const (
-	failed ending = iota
-	// incomplete: the controller wants to know everything that is held first.
+	failed callResult = iota
+	// incomplete: the controller requires a report of all parts first.
 	incomplete
 	complete
 )
 
-// ask makes one call.
-func (a *Enforcer) ask(ctx context.Context) ending {
+// requestParts makes one call.
+func (a *Enforcer) requestParts(ctx context.Context) callResult {
 	at, ok := a.Controllers.Controller()
 	if !ok {
 		return failed
@@ -194,8 +195,8 @@
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	response, err := wireconnect.NewExchangeClient(a.client, a.Dialer.URL(at)).Allot(ctx, connect.NewRequest(request))
-	a.note(at, err)
-	a.gather = min(maxGather, max(minGather, time.Since(sent)))
+	a.logChange(at, err)
+	a.batchDelay = min(maxBatchDelay, max(minBatchDelay, time.Since(sent)))
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if err == nil {
@@ -204,7 +205,7 @@
 	if err == nil && response.Msg.GetWhole() {
 		return incomplete
 	}
-	// Also after a call that failed those who wait have to say anew what they lack.
+	// Also after a failed call, waiting requests have to state their demand again.
 	close(a.answered)
 	a.answered = make(chan struct{})
 	if err != nil {
@@ -213,8 +214,8 @@
 	return complete
 }
 
-// note logs where answers cease and where they come back.
-func (a *Enforcer) note(at netip.AddrPort, err error) {
+// logChange logs when calls start to fail and when they succeed again.
+func (a *Enforcer) logChange(at netip.AddrPort, err error) {
 	if (err != nil) == a.failing {
 		return
 	}
--- a/entry/internal/enforcer/enforcer_test.go
+++ b/entry/internal/enforcer/enforcer_test.go
@@ -26,7 +26,7 @@
 
 const window = 5 * time.Second
 
-// controller gives parts of quotas as a leader does, or fails.
+// controller allots parts of quotas like a leader, or fails.
 type controller struct {
 	wireconnect.UnimplementedExchangeHandler
 	mu       sync.Mutex
@@ -55,16 +55,16 @@
 	c.failing = failing
 }
 
-// region is two entry instances that reach each other and one controller.
+// region consists of entry instances that reach each other, and one controller.
 type region struct {
-	controller *controller
-	address    netip.AddrPort
-	askers     map[string]*Enforcer
-	mu         sync.Mutex
-	dead       map[string]bool
-	peers      []locator.Peer
-	// asked counts the questions between instances.
-	asked atomic.Int32
+	controller  *controller
+	address     netip.AddrPort
+	enforcers   map[string]*Enforcer
+	mu          sync.Mutex
+	unreachable map[string]bool
+	peers       []locator.Peer
+	// calls counts the calls between instances.
+	calls atomic.Int32
 }
 
 func (r *region) Controller() (netip.AddrPort, bool) { return r.address, true }
@@ -73,7 +73,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, p := range peers {
-		if !r.dead[p.Name] {
+		if !r.unreachable[p.Name] {
 			return p
 		}
 	}
@@ -81,14 +81,14 @@
 }
 
 func (r *region) Ask(ctx context.Context, owner locator.Peer, s *wire.SpendRequest) (*wire.SpendResponse, error) {
-	r.asked.Add(1)
+	r.calls.Add(1)
 	if owner.Name == "frozen" {
 		r.mu.Lock()
-		r.dead[owner.Name] = true
+		r.unreachable[owner.Name] = true
 		r.mu.Unlock()
 		return nil, &quoter.SuspendedError{}
 	}
-	return r.askers[owner.Name].Spend(ctx, s), nil
+	return r.enforcers[owner.Name].Spend(ctx, s), nil
 }
 
 func plan() *wire.Plan {
@@ -96,7 +96,7 @@
 	return &wire.Plan{Version: 1, Organisations: []*wire.Organisation{{Name: "acme", Rate: &rate}}}
 }
 
-func begin(t *testing.T, peers ...string) *region {
+func newRegion(t *testing.T, peers ...string) *region {
 	t.Helper()
 	c := &controller{allotter: quoter.Allotter{
 		Tolerance: quoter.Tolerance{Window: window}, Term: 1, ElectedAt: time.Now(), Lease: time.Minute, Holdoff: time.Second,
@@ -107,7 +107,7 @@
 	t.Cleanup(server.Close)
 	r := &region{
 		controller: c, address: netip.MustParseAddrPort(strings.TrimPrefix(server.URL, "http://")),
-		askers: map[string]*Enforcer{}, dead: map[string]bool{},
+		enforcers: map[string]*Enforcer{}, unreachable: map[string]bool{},
 	}
 	var listed []*wire.QuotaHolder
 	for _, name := range peers {
@@ -119,7 +119,7 @@
 		a := &Enforcer{
 			Self: listed[i], Controllers: r, Peers: r, Dialer: &dialer.Dialer{Plain: true}, Logger: log.NewNopLogger(),
 		}
-		r.askers[name] = a
+		r.enforcers[name] = a
 		c.allotter.MarkNew(listed[i])
 		if name == "frozen" {
 			continue
@@ -131,20 +131,20 @@
 	return r
 }
 
-// view is one in which there are so many entry instances that the region holds its part at one of them.
+// view returns a view with so many entry instances that one of them holds the region's part.
 func (r *region) view(p *wire.Plan) *watcher.View {
 	return &watcher.View{Table: planner.NewTable(p), Entries: 100, Peers: r.peers}
 }
 
 func (r *region) admit(name string) quoter.Verdict {
 	now := time.Now()
-	return r.askers[name].Admit(context.Background(), "acme", now.Add(time.Second), now.Add(10*time.Second))
+	return r.enforcers[name].Admit(context.Background(), "acme", now.Add(time.Second), now.Add(10*time.Second))
 }
 
-// Guards against instances that each hold a part of a quota too small for one request, and against more than the quota.
+// Guards against instances that each hold a part too small for one request, and against more requests than the quota.
 func TestOneInstanceCountsForTheRegion(t *testing.T) {
 	is := is.New(t)
-	r := begin(t, "a", "b")
+	r := newRegion(t, "a", "b")
 	granted := 0
 	for i := range 30 {
 		v := r.admit([]string{"a", "b"}[i%2])
@@ -162,32 +162,33 @@
 // Guards against requests that are refused because the instance that counts for the region does not answer.
 func TestAnotherInstanceTakesOver(t *testing.T) {
 	is := is.New(t)
-	r := begin(t, "frozen", "b")
+	r := newRegion(t, "frozen", "b")
 	v := r.admit("b")
 	is.Equal(v.Outcome, quoter.Granted)
 	is.Equal(v.Peer, "")
 }
 
-// Guards against requests that are let through uncounted by an instance that does not know their organisation yet.
-func TestAnUnknownOrganisationIsNotGranted(t *testing.T) {
+// Guards against requests that are admitted without being counted by an instance that does not know their organisation
+// yet.
+func TestUnknownOrganisationIsNotGranted(t *testing.T) {
 	is := is.New(t)
-	r := begin(t, "a", "b")
+	r := newRegion(t, "a", "b")
 	older := plan()
 	older.Organisations = nil
-	r.askers["a"].Update(time.Now(), r.view(older))
+	r.enforcers["a"].Update(time.Now(), r.view(older))
 	v := r.admit("b")
 	is.True(v.Outcome != quoter.Granted)
 }
 
-// Guards against a quota that is spent by requests which have not run.
-func TestWhatHasNotRunGoesBackToWhereItWasCounted(t *testing.T) {
+// Guards against a quota that is used up by requests which have not run.
+func TestRequestsThatDidNotRunAreReturnedToTheirCounter(t *testing.T) {
 	is := is.New(t)
-	r := begin(t, "a", "b")
+	r := newRegion(t, "a", "b")
 	for range 20 {
 		is.Equal(r.admit("a").Outcome, quoter.Granted)
 	}
 	last := quoter.Verdict{CountedAt: time.Now(), Peer: "a"}
-	r.askers["b"].Return("acme", last)
+	r.enforcers["b"].Return("acme", last)
 	time.Sleep(50 * time.Millisecond)
 	is.Equal(r.admit("b").Outcome, quoter.Granted)
 	is.Equal(r.admit("b").Outcome, quoter.Exceeded)
@@ -196,7 +197,7 @@
 // Guards against requests that are refused at once while no controller answers for a moment.
 func TestRequestsWaitForAController(t *testing.T) {
 	is := is.New(t)
-	r := begin(t, "a", "b")
+	r := newRegion(t, "a", "b")
 	r.controller.fail(true)
 	time.AfterFunc(400*time.Millisecond, func() { r.controller.fail(false) })
 	for range 20 {
@@ -204,21 +205,21 @@
 	}
 }
 
-// Guards against an instance that has no time left to follow the plan: while the one that counts for its region does not
-// know an organisation, each waiting request asked it again every few milliseconds.
-func TestWaitingRequestsDoNotAskInAStorm(t *testing.T) {
+// Guards against an instance that has no time left to update its plan. While the instance that counts for its
+// region did not know an organisation, each waiting request called it again every few milliseconds.
+func TestWaitingRequestsAreRateLimited(t *testing.T) {
 	is := is.New(t)
-	r := begin(t, "a", "b")
+	r := newRegion(t, "a", "b")
 	older := plan()
 	older.Organisations = nil
-	r.askers["a"].Update(time.Now(), r.view(older))
+	r.enforcers["a"].Update(time.Now(), r.view(older))
 	const requests = 50
 	var waiting sync.WaitGroup
 	for range requests {
 		waiting.Go(func() { r.admit("b") })
 	}
 	waiting.Wait()
-	is.True(r.asked.Load() < 2*requests)
-	r.askers["a"].Update(time.Now(), r.view(plan()))
+	is.True(r.calls.Load() < 2*requests)
+	r.enforcers["a"].Update(time.Now(), r.view(plan()))
 	is.Equal(r.admit("b").Outcome, quoter.Granted)
 }
