--- a/entry/internal/enforcer/backoff.go
+++ b/entry/internal/enforcer/backoff.go
@@ -8,43 +8,43 @@
 const (
 	// maxBackoff limits the pause between two calls about an organisation while they fail.
 	maxBackoff = 320 * time.Millisecond
-	// maxFailures is the number of failures in a row from which on the pause is not doubled any more.
-	maxFailures = 8
+	// maxMisses is the number of failures in a row from which on the pause is not doubled any more.
+	maxMisses = 8
 )
 
 // backoffs limits the rate of calls about each organisation while no instance knows its quota. Otherwise every waiting
-// request would retry, and the calls would take the time that this instance needs to learn the right owner.
-// The zero value is ready for use.
+// request would retry, and the calls would take the time that this instance needs to learn the right owner. The zero
+// value is ready for use.
 type backoffs struct {
-	mu             sync.Mutex
-	byOrganisation map[string]backoff
+	mu    sync.Mutex
+	paced map[string]backoff
 }
 
 // backoff is the state of the calls about one organisation.
 type backoff struct {
-	// failures counts the calls in a row that failed, failedAt is when the last of them ended.
-	failures int
-	failedAt time.Time
-	// retryAt is when the next call may be made.
-	retryAt time.Time
+	// misses counts the calls in a row that failed, failed is when the last of them ended.
+	misses int
+	failed time.Time
+	// due is when the next call may be made.
+	due time.Time
 }
 
-// delay returns the pause before the next call. It doubles with each failure.
-func (t *backoff) delay() time.Duration {
-	return min(maxBackoff, peerRetryDelay<<(min(t.failures, maxFailures)-1))
+// pause returns the pause before the next call. It doubles with each failure.
+func (t *backoff) pause() time.Duration {
+	return min(maxBackoff, peerRetryDelay<<(min(t.misses, maxMisses)-1))
 }
 
 // allow reports whether a call may be made now, and otherwise when to try again.
 func (t *backoffs) allow(now time.Time, organisation string) (time.Time, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	state, ok := t.byOrganisation[organisation]
-	if ok && now.Before(state.retryAt) {
-		return state.retryAt, false
+	paced, ok := t.paced[organisation]
+	if ok && now.Before(paced.due) {
+		return paced.due, false
 	}
 	if ok {
-		state.retryAt = now.Add(state.delay())
-		t.byOrganisation[organisation] = state
+		paced.due = now.Add(paced.pause())
+		t.paced[organisation] = paced
 	}
 	return now, true
 }
@@ -54,18 +54,18 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if answered {
-		delete(t.byOrganisation, organisation)
+		delete(t.paced, organisation)
 		return
 	}
-	state := t.byOrganisation[organisation]
-	if asked.Before(state.failedAt) {
+	paced := t.paced[organisation]
+	if asked.Before(paced.failed) {
 		// The call ran concurrently with one that has increased the backoff already.
 		return
 	}
-	state.failures++
-	state.retryAt, state.failedAt = now.Add(state.delay()), now
-	if t.byOrganisation == nil {
-		t.byOrganisation = map[string]backoff{}
+	paced.misses++
+	paced.due, paced.failed = now.Add(paced.pause()), now
+	if t.paced == nil {
+		t.paced = map[string]backoff{}
 	}
-	t.byOrganisation[organisation] = state
+	t.paced[organisation] = paced
 }
