--- a/core/quoter/ends.go
+++ b/core/quoter/ends.go
@@ -99,7 +99,7 @@
 		if ended.Before(h.until) {
 			h.until = ended
 		}
-		if unknown, ok := a.unreported[other]; ok && ended.Before(unknown) {
+		if until, ok := a.unreported[other]; ok && ended.Before(until) {
 			a.unreported[other] = ended
 		}
 	}
