--- a/core/dealer/dealer.go
+++ b/core/partitioner/partitioner.go
@@ -1,7 +1,7 @@
-// Package dealer divides the slots of targets among entry instances, so that each sends only into slots
+// Package partitioner divides the slots of targets among entry instances, so that each sends only into slots
 // of its own. Every instance computes the same division from the same lists; while the lists differ for a
 // moment a target may get more than its slots, and sheds it as not run.
-package dealer
+package partitioner
 
 import (
 	"sort"
--- a/core/dealer/dealer_test.go
+++ b/core/partitioner/partitioner_test.go
@@ -1,4 +1,4 @@
-package dealer
+package partitioner
 
 import (
 	"fmt"
--- a/core/placer/replay_test.go
+++ b/core/placer/replay_test.go
@@ -10,9 +10,9 @@
 	"strconv"
 	"time"
 
-	"chervilrail.example/core/dealer"
 	"chervilrail.example/core/gauger"
 	"chervilrail.example/core/messenger"
+	"chervilrail.example/core/partitioner"
 )
 
 // replay is a small world in logical time: targets that work faster on objects they handled lately, several entry
@@ -186,17 +186,17 @@
 
 // deal gives the targets' slots to the entry instances, as the watcher does.
 func (r *replay) deal(at time.Time) {
-	var instances []dealer.Instance
+	var instances []partitioner.Instance
 	for _, e := range r.entries {
-		instances = append(instances, dealer.Instance{Name: e.name, Region: e.region})
+		instances = append(instances, partitioner.Instance{Name: e.name, Region: e.region})
 	}
-	var targets []dealer.Target
+	var targets []partitioner.Target
 	for _, s := range r.specs {
-		targets = append(targets, dealer.Target{Name: s.Name, Region: s.Region, Slots: s.Slots})
+		targets = append(targets, partitioner.Target{Name: s.Name, Region: s.Region, Slots: s.Slots})
 	}
 	for _, e := range r.entries {
 		specs := slices.Clone(r.specs)
-		for i, own := range dealer.Deal(e.name, dealer.NewPartners(instances), targets) {
+		for i, own := range partitioner.Deal(e.name, partitioner.NewPartners(instances), targets) {
 			specs[i].Own = own
 		}
 		e.placer.Update(at, specs, len(r.entries))
--- a/entry/internal/directory/view.go
+++ b/entry/internal/directory/view.go
@@ -7,8 +7,8 @@
 	"chervilrail.example/core/balancer"
 	"chervilrail.example/core/cataloguer"
 	"chervilrail.example/core/chooser"
-	"chervilrail.example/core/dealer"
 	"chervilrail.example/core/mapper"
+	"chervilrail.example/core/partitioner"
 	"chervilrail.example/core/wire"
 )
 
@@ -75,17 +75,17 @@
 // dealSlots marks how many slots of each target belong to this instance. An instance that is leaving, or
 // not yet on the roster, still counts itself: it may get requests.
 func (d *Directory) dealSlots(members []*balancer.Target) {
-	partners := []dealer.Instance{{Name: d.Instance, Region: d.Region}}
+	partners := []partitioner.Instance{{Name: d.Instance, Region: d.Region}}
 	for _, n := range d.nodes {
 		if n.GetName() != d.Instance && !n.GetLost() && !n.GetLeaving() {
-			partners = append(partners, dealer.Instance{Name: n.GetName(), Region: n.GetRegion()})
+			partners = append(partners, partitioner.Instance{Name: n.GetName(), Region: n.GetRegion()})
 		}
 	}
-	var slots []dealer.Target
+	var slots []partitioner.Target
 	for _, u := range members {
-		slots = append(slots, dealer.Target{Name: u.Name, Region: u.Region, Slots: u.Slots})
+		slots = append(slots, partitioner.Target{Name: u.Name, Region: u.Region, Slots: u.Slots})
 	}
-	for i, n := range dealer.Deal(d.Instance, dealer.NewPartners(partners), slots) {
+	for i, n := range partitioner.Deal(d.Instance, partitioner.NewPartners(partners), slots) {
 		members[i].SetOwn(n)
 	}
 }
--- a/entry/internal/locator/locator.go
+++ b/entry/internal/locator/locator.go
@@ -14,9 +14,9 @@
 	"github.com/go-kit/log"
 	"github.com/go-kit/log/level"
 
-	"chervilrail.example/core/dealer"
 	"chervilrail.example/core/dialer"
 	"chervilrail.example/core/kernel"
+	"chervilrail.example/core/partitioner"
 	"chervilrail.example/core/placer"
 	"chervilrail.example/core/wire"
 	"chervilrail.example/core/wire/wireconnect"
@@ -106,7 +106,7 @@
 		if p.Name != l.Self && now.Before(l.shunned[p.Name]) {
 			continue
 		}
-		if w := dealer.Weight(key, p.Name); w > most {
+		if w := partitioner.Weight(key, p.Name); w > most {
 			best, most = p, w
 		}
 	}
--- a/entry/internal/watcher/view.go
+++ b/entry/internal/watcher/view.go
@@ -10,8 +10,8 @@
 
 	"github.com/go-kit/log/level"
 
-	"chervilrail.example/core/dealer"
 	"chervilrail.example/core/gauger"
+	"chervilrail.example/core/partitioner"
 	"chervilrail.example/core/placer"
 	"chervilrail.example/core/planner"
 	"chervilrail.example/core/wire"
@@ -238,30 +238,30 @@
 }
 
 // partners lists the entry instances that share the targets.
-func (w *Watcher) partners() *dealer.Partners {
-	out := []dealer.Instance{{Name: w.Node.GetName(), Region: w.Node.GetRegion()}}
+func (w *Watcher) partners() *partitioner.Partners {
+	out := []partitioner.Instance{{Name: w.Node.GetName(), Region: w.Node.GetRegion()}}
 	for _, n := range w.state.nodes {
 		if n.GetName() != w.Node.GetName() && !n.GetLeaving() {
-			out = append(out, dealer.Instance{Name: n.GetName(), Region: n.GetRegion()})
+			out = append(out, partitioner.Instance{Name: n.GetName(), Region: n.GetRegion()})
 		}
 	}
-	return dealer.NewPartners(out)
+	return partitioner.NewPartners(out)
 }
 
 // deal gives each slot to one entry instance, and each cold target whole to one.
-func (w *Watcher) deal(now time.Time, specs []placer.Spec, partners *dealer.Partners) {
-	slots := make([]dealer.Target, 0, len(specs))
+func (w *Watcher) deal(now time.Time, specs []placer.Spec, partners *partitioner.Partners) {
+	slots := make([]partitioner.Target, 0, len(specs))
 	for _, s := range specs {
-		slots = append(slots, dealer.Target{Name: s.Name, Region: s.Region, Slots: s.Slots})
+		slots = append(slots, partitioner.Target{Name: s.Name, Region: s.Region, Slots: s.Slots})
 	}
-	own := dealer.Deal(w.Node.GetName(), partners, slots)
+	own := partitioner.Deal(w.Node.GetName(), partners, slots)
 	for i := range specs {
 		specs[i].Own = own[i]
 		if !now.Before(specs[i].ColdUntil) {
 			continue
 		}
 		specs[i].Own = 0
-		if dealer.Holder(specs[i].Name, partners, specs[i].Region) == w.Node.GetName() {
+		if partitioner.Holder(specs[i].Name, partners, specs[i].Region) == w.Node.GetName() {
 			specs[i].Own = specs[i].Slots
 		}
 	}
--- a/standin/internal/experimenter/policies.go
+++ b/standin/internal/experimenter/policies.go
@@ -7,7 +7,7 @@
 	"chervilrail.example/core/admitter"
 	"chervilrail.example/core/balancer"
 	"chervilrail.example/core/cataloguer"
-	"chervilrail.example/core/dealer"
+	"chervilrail.example/core/partitioner"
 	"chervilrail.example/core/retrier"
 	"chervilrail.example/core/tuner"
 )
@@ -99,16 +99,16 @@
 // refresh takes the targets that have not said that they leave; each instance counts its own requests.
 func (in *instance) refresh(w *world) {
 	tier := balancer.Tier{Region: "r"}
-	var known []dealer.Target
+	var known []partitioner.Target
 	for i, h := range w.hosts {
 		u := in.view(h)
 		if h.leaving || h.silent(w.now) {
 			continue
 		}
-		known = append(known, dealer.Target{Name: strconv.Itoa(i), Region: "r", Slots: int32(w.Slots)})
+		known = append(known, partitioner.Target{Name: strconv.Itoa(i), Region: "r", Slots: int32(w.Slots)})
 		tier.Targets = append(tier.Targets, u)
 	}
-	for i, n := range dealer.Deal(in.name, dealer.NewPartners(w.partners()), known) {
+	for i, n := range partitioner.Deal(in.name, partitioner.NewPartners(w.partners()), known) {
 		tier.Targets[i].SetOwn(n)
 	}
 	in.pool = &balancer.Pool{Tiers: []balancer.Tier{tier}}
@@ -117,10 +117,10 @@
 }
 
 // partners lists the entry instances.
-func (w *world) partners() []dealer.Instance {
-	var out []dealer.Instance
+func (w *world) partners() []partitioner.Instance {
+	var out []partitioner.Instance
 	for i := range w.Entries {
-		out = append(out, dealer.Instance{Name: strconv.Itoa(int(i)), Region: "r"})
+		out = append(out, partitioner.Instance{Name: strconv.Itoa(int(i)), Region: "r"})
 	}
 	return out
 }
