--- a/core/placer/assigner.go
+++ b/core/placer/assigner.go
@@ -10,8 +10,8 @@
 // announceTime is in which the targets that are there announce themselves to a system that has just started.
 const announceTime = 2 * time.Second
 
-// Ask is the question where a request should go, put to the instance that answers for its object.
-type Ask struct {
+// AssignRequest is the question where a request should go, put to the instance that answers for its object.
+type AssignRequest struct {
 	Object string
 	// Route is what the object is of; objects of one route ask for about the same work.
 	Route string
@@ -76,7 +76,7 @@
 	placedAt time.Time
 	warmAt   time.Time
 	// ask is the last question for the object, with an empty name if there was none.
-	ask Ask
+	ask AssignRequest
 }
 
 // ObjectOf is what an object is called where its name would be too long.
@@ -96,7 +96,7 @@
 }
 
 // Assign says where a request for an object goes for which this instance answers.
-func (p *Placer) Assign(now time.Time, ask Ask) Place {
+func (p *Placer) Assign(now time.Time, ask AssignRequest) Place {
 	a := &p.assigner
 	object := ObjectOf(ask.Object)
 	found, ok := a.objects[object]
@@ -144,7 +144,7 @@
 }
 
 // assign gives an object a target: the one where the asker saw it, else the one that has most room.
-func (p *Placer) assign(now time.Time, object uint64, ask Ask) Place {
+func (p *Placer) assign(now time.Time, object uint64, ask AssignRequest) Place {
 	a := &p.assigner
 	if old, ok := a.objects[object]; ok && ask.Hint == "" {
 		ask.Hint = old.target
@@ -166,12 +166,12 @@
 }
 
 // give puts an object at a target that does not have it warm.
-func (p *Placer) give(now time.Time, object uint64, ask Ask, target *Target, reason string) Place {
+func (p *Placer) give(now time.Time, object uint64, ask AssignRequest, target *Target, reason string) Place {
 	target.expect(now, p.assigner.demand)
 	return p.assigner.put(now, object, ask, target.Name, reason)
 }
 
-func (a *assigner) put(now time.Time, object uint64, ask Ask, target, reason string) Place {
+func (a *assigner) put(now time.Time, object uint64, ask AssignRequest, target, reason string) Place {
 	next := &assigned{target: target, route: ask.Route, version: 1, placedAt: now, warmAt: now.Add(ask.Cold), ask: ask}
 	if old, ok := a.objects[object]; ok {
 		next.version = old.version + 1
--- a/core/placer/assigner_test.go
+++ b/core/placer/assigner_test.go
@@ -12,7 +12,9 @@
 
 const coldRun = 900 * time.Millisecond
 
-func question(object string) Ask { return Ask{Object: object, Route: "view", Cold: coldRun} }
+func question(object string) AssignRequest {
+	return AssignRequest{Object: object, Route: "view", Cold: coldRun}
+}
 
 // boards are fourteen targets in three regions, two of them where a third of the callers are.
 func boards() []Spec {
--- a/core/placer/balancer.go
+++ b/core/placer/balancer.go
@@ -74,7 +74,7 @@
 }
 
 // question is the last question for an object, or what is known of it without one.
-func (o *assigned) question() Ask {
+func (o *assigned) question() AssignRequest {
 	ask := o.ask
 	ask.Route = o.route
 	return ask
--- a/core/placer/room.go
+++ b/core/placer/room.go
@@ -21,7 +21,7 @@
 )
 
 // region chooses the region that has the fewest objects of a route for its part.
-func (p *Placer) region(now time.Time, ask Ask) string {
+func (p *Placer) region(now time.Time, ask AssignRequest) string {
 	best, least := "", math.Inf(1)
 	for _, r := range slices.Sorted(maps.Keys(p.assigner.parts)) {
 		if score := p.filled(r, ask.Route, 0); score < least && p.open(now, r, ask) {
@@ -45,7 +45,7 @@
 
 // emptiest returns the target with most room for an object, of those of a region that this instance considers: with the
 // least load, and of those the one with the fewest objects of its route for its slots.
-func (p *Placer) emptiest(region string, now time.Time, object uint64, ask Ask) *Target {
+func (p *Placer) emptiest(region string, now time.Time, object uint64, ask AssignRequest) *Target {
 	var best *Target
 	leastLoad, leastObjects := math.Inf(1), math.Inf(1)
 	for _, target := range p.candidates(region, object) {
@@ -89,6 +89,6 @@
 }
 
 // open reports whether a region has a target for an object.
-func (p *Placer) open(now time.Time, region string, ask Ask) bool {
+func (p *Placer) open(now time.Time, region string, ask AssignRequest) bool {
 	return slices.ContainsFunc(p.hosts.byRegion[region], func(t *Target) bool { return p.keeps(now, t, ask.Regions) })
 }
--- a/entry/internal/carrier/attempt.go
+++ b/entry/internal/carrier/attempt.go
@@ -99,7 +99,7 @@
 			return place
 		}
 	}
-	place := c.Locator.Locate(j.request.Context(), j.view.Peers, j.service, placer.Ask{
+	place := c.Locator.Locate(j.request.Context(), j.view.Peers, j.service, placer.AssignRequest{
 		Object: j.object, Route: j.route.GetName(), Hint: g.seen(j.object), Cold: cold, Regions: j.regions,
 	})
 	j.located = time.Since(started)
--- a/entry/internal/carrier/carrier.go
+++ b/entry/internal/carrier/carrier.go
@@ -57,7 +57,7 @@
 
 // Locator finds the target that keeps an object warm, with the other entry instances of the region.
 type Locator interface {
-	Locate(ctx context.Context, peers []locator.Peer, service string, ask placer.Ask) placer.Place
+	Locate(ctx context.Context, peers []locator.Peer, service string, ask placer.AssignRequest) placer.Place
 	Owns(peers []locator.Peer, object uint64) bool
 }
 
@@ -232,7 +232,7 @@
 }
 
 // Assign implements locator.Assigner.
-func (c *Carrier) Assign(now time.Time, service string, ask placer.Ask) placer.Place {
+func (c *Carrier) Assign(now time.Time, service string, ask placer.AssignRequest) placer.Place {
 	place, object := c.gate(service).assign(now, ask), placer.ObjectOf(ask.Object)
 	switch {
 	case place.Settled:
--- a/entry/internal/carrier/carrier_test.go
+++ b/entry/internal/carrier/carrier_test.go
@@ -110,7 +110,7 @@
 // alone is the only entry instance of its region; it knows no object.
 type alone struct{}
 
-func (alone) Locate(context.Context, []locator.Peer, string, placer.Ask) placer.Place {
+func (alone) Locate(context.Context, []locator.Peer, string, placer.AssignRequest) placer.Place {
 	return placer.Place{}
 }
 func (alone) Owns([]locator.Peer, uint64) bool { return true }
--- a/entry/internal/carrier/gate.go
+++ b/entry/internal/carrier/gate.go
@@ -177,7 +177,7 @@
 }
 
 // assign says where a request for an object goes that this instance answers for.
-func (g *gate) assign(now time.Time, ask placer.Ask) placer.Place {
+func (g *gate) assign(now time.Time, ask placer.AssignRequest) placer.Place {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if ask.Hint == "" {
--- a/entry/internal/locator/locator.go
+++ b/entry/internal/locator/locator.go
@@ -42,7 +42,7 @@
 
 // Assigner decides for the objects that this instance answers for.
 type Assigner interface {
-	Assign(now time.Time, service string, ask placer.Ask) placer.Place
+	Assign(now time.Time, service string, ask placer.AssignRequest) placer.Place
 }
 
 // Spender counts requests of organisations whose parts this instance keeps for its region.
@@ -115,7 +115,7 @@
 
 // Locate says where a request for an object goes. An instance that does not answer is left out for a while; the one that
 // comes next takes over from the hints of those who ask.
-func (l *Locator) Locate(ctx context.Context, peers []Peer, service string, ask placer.Ask) placer.Place {
+func (l *Locator) Locate(ctx context.Context, peers []Peer, service string, ask placer.AssignRequest) placer.Place {
 	for range 2 {
 		now := time.Now()
 		owner := l.owner(now, peers, placer.ObjectOf(ask.Object))
@@ -146,7 +146,7 @@
 		"err", err)
 }
 
-func (l *Locator) call(ctx context.Context, owner Peer, service string, ask placer.Ask) (placer.Place, error) {
+func (l *Locator) call(ctx context.Context, owner Peer, service string, ask placer.AssignRequest) (placer.Place, error) {
 	ctx, cancel := context.WithTimeout(ctx, answerTimeout)
 	defer cancel()
 	client := wireconnect.NewPlacementClient(l.client, l.Dialer.URL(owner.Address))
@@ -168,7 +168,7 @@
 	_ context.Context, r *connect.Request[wire.PlaceRequest],
 ) (*connect.Response[wire.PlaceResponse], error) {
 	now := time.Now()
-	place := l.Assigner.Assign(now, r.Msg.GetService(), placer.Ask{
+	place := l.Assigner.Assign(now, r.Msg.GetService(), placer.AssignRequest{
 		Object: r.Msg.GetObject(), Route: r.Msg.GetRoute(), Hint: r.Msg.GetHint(), Cold: time.Duration(r.Msg.GetCold()),
 		Regions: r.Msg.GetRegions(),
 	})
--- a/entry/internal/locator/locator_test.go
+++ b/entry/internal/locator/locator_test.go
@@ -25,10 +25,10 @@
 	mu     sync.Mutex
 	target string
 	warmAt time.Time
-	asked  []placer.Ask
+	asked  []placer.AssignRequest
 }
 
-func (b *book) Assign(_ time.Time, _ string, ask placer.Ask) placer.Place {
+func (b *book) Assign(_ time.Time, _ string, ask placer.AssignRequest) placer.Place {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.asked = append(b.asked, ask)
@@ -67,7 +67,7 @@
 	a, b := begin(t, "a", one), begin(t, "b", two)
 	peers := []Peer{{"a", serve(t, a.Handler())}, {"b", serve(t, b.Handler())}}
 	for _, owner := range []string{"a", "b"} {
-		ask := placer.Ask{Object: objectOf(a, peers, owner), Route: "r", Hint: "h", Cold: time.Second, Regions: []string{"x"}}
+		ask := placer.AssignRequest{Object: objectOf(a, peers, owner), Route: "r", Hint: "h", Cold: time.Second, Regions: []string{"x"}}
 		first, second := a.Locate(t.Context(), peers, "s", ask), b.Locate(t.Context(), peers, "s", ask)
 		is.Equal(first.Target, second.Target)
 		is.Equal(first.WarmAt.IsZero(), second.WarmAt.IsZero())
@@ -91,7 +91,7 @@
 	object := objectOf(l, peers, "silent")
 	start := time.Now()
 	for range 20 {
-		is.Equal(l.Locate(t.Context(), peers, "s", placer.Ask{Object: object, Hint: "t9"}).Target, "t1")
+		is.Equal(l.Locate(t.Context(), peers, "s", placer.AssignRequest{Object: object, Hint: "t9"}).Target, "t1")
 	}
 	is.True(time.Since(start) < shun)
 	is.Equal(b.asked[0].Hint, "t9")
@@ -104,9 +104,9 @@
 	l := begin(t, "a", &book{target: "t1"})
 	peers := []Peer{{"a", netip.AddrPort{}}, {"closed", netip.MustParseAddrPort("127.0.0.1:1")}}
 	object := objectOf(l, peers, "closed")
-	is.Equal(l.Locate(t.Context(), peers, "s", placer.Ask{Object: object}).Target, "t1")
+	is.Equal(l.Locate(t.Context(), peers, "s", placer.AssignRequest{Object: object}).Target, "t1")
 	t.Run("alone", func(t *testing.T) {
-		is.New(t).Equal(l.Locate(t.Context(), nil, "s", placer.Ask{Object: object}).Target, "t1")
+		is.New(t).Equal(l.Locate(t.Context(), nil, "s", placer.AssignRequest{Object: object}).Target, "t1")
 	})
 }
 
