--- a/core/placer/assigner.go
+++ b/core/placer/assigner.go
@@ -23,8 +23,8 @@
 	Regions []string
 }
 
-// Place is the answer to an Ask.
-type Place struct {
+// Assignment is the answer to an Ask.
+type Assignment struct {
 	// Target is empty if none may be used.
 	Target string
 	// Route is what the object is of, Version grows with each move of it.
@@ -96,7 +96,7 @@
 }
 
 // Assign says where a request for an object goes for which this instance answers.
-func (p *Placer) Assign(now time.Time, ask AssignRequest) Place {
+func (p *Placer) Assign(now time.Time, ask AssignRequest) Assignment {
 	a := &p.assigner
 	object := ObjectOf(ask.Object)
 	found, ok := a.objects[object]
@@ -108,8 +108,8 @@
 }
 
 // place is the answer to a request for an object that has its place.
-func (o *assigned) place(now time.Time) Place {
-	place := Place{Target: o.target, Reason: "known"}
+func (o *assigned) place(now time.Time) Assignment {
+	place := Assignment{Target: o.target, Reason: "known"}
 	if now.Before(o.warmAt) {
 		place.WarmAt = o.warmAt
 	}
@@ -117,10 +117,10 @@
 }
 
 // Known is an object's place as this instance was told or decided itself, false if it has to be asked for.
-func (p *Placer) Known(now time.Time, object uint64, regions []string) (Place, bool) {
+func (p *Placer) Known(now time.Time, object uint64, regions []string) (Assignment, bool) {
 	found, ok := p.assigner.objects[object]
 	if !ok || !p.Holds(now, found.target, regions) {
-		return Place{}, false
+		return Assignment{}, false
 	}
 	return found.place(now), true
 }
@@ -144,7 +144,7 @@
 }
 
 // assign gives an object a target: the one where the asker saw it, else the one that has most room.
-func (p *Placer) assign(now time.Time, object uint64, ask AssignRequest) Place {
+func (p *Placer) assign(now time.Time, object uint64, ask AssignRequest) Assignment {
 	a := &p.assigner
 	if old, ok := a.objects[object]; ok && ask.Hint == "" {
 		ask.Hint = old.target
@@ -156,28 +156,28 @@
 		return place
 	}
 	if p.awaited(now, ask.Hint) {
-		return Place{Target: ask.Hint, Reason: "awaited"}
+		return Assignment{Target: ask.Hint, Reason: "awaited"}
 	}
 	target := p.emptiest(p.region(now, ask), now, object, ask)
 	if target == nil {
-		return Place{}
+		return Assignment{}
 	}
 	return p.give(now, object, ask, target, "new")
 }
 
 // give puts an object at a target that does not have it warm.
-func (p *Placer) give(now time.Time, object uint64, ask AssignRequest, target *Target, reason string) Place {
+func (p *Placer) give(now time.Time, object uint64, ask AssignRequest, target *Target, reason string) Assignment {
 	target.expect(now, p.assigner.demand)
 	return p.assigner.put(now, object, ask, target.Name, reason)
 }
 
-func (a *assigner) put(now time.Time, object uint64, ask AssignRequest, target, reason string) Place {
+func (a *assigner) put(now time.Time, object uint64, ask AssignRequest, target, reason string) Assignment {
 	next := &assigned{target: target, route: ask.Route, version: 1, placedAt: now, warmAt: now.Add(ask.Cold), ask: ask}
 	if old, ok := a.objects[object]; ok {
 		next.version = old.version + 1
 	}
 	a.set(object, next)
-	return Place{
+	return Assignment{
 		Target: target, Route: ask.Route, Reason: reason, Version: next.version, First: true, Settled: true,
 	}
 }
--- a/core/placer/balancer.go
+++ b/core/placer/balancer.go
@@ -45,7 +45,7 @@
 // Move is an object's new place.
 type Move struct {
 	Object uint64
-	Place
+	Assignment
 }
 
 // Balance returns the objects that this instance moves now, of those for which it answers.
--- a/core/placer/replay_test.go
+++ b/core/placer/replay_test.go
@@ -302,7 +302,7 @@
 }
 
 // settle tells all instances of a region about a place, as the controllers do.
-func (r *replay) settle(region string, object uint64, place Place) {
+func (r *replay) settle(region string, object uint64, place Assignment) {
 	if r.world.deaf {
 		return
 	}
@@ -330,7 +330,7 @@
 	}
 	for _, e := range r.entries {
 		for _, m := range e.placer.Balance(r.now) {
-			r.settle(e.region, m.Object, m.Place)
+			r.settle(e.region, m.Object, m.Assignment)
 		}
 	}
 	r.after(balanceEvery, func() { r.share(start) })
--- a/entry/internal/carrier/attempt.go
+++ b/entry/internal/carrier/attempt.go
@@ -84,10 +84,10 @@
 }
 
 // locate finds the target that keeps the request's object warm.
-func (c *Carrier) locate(j *job, g *gate, cold time.Duration) placer.Place {
+func (c *Carrier) locate(j *job, g *gate, cold time.Duration) placer.Assignment {
 	j.object = j.objectName()
 	if j.object == "" {
-		return placer.Place{}
+		return placer.Assignment{}
 	}
 	started := time.Now()
 	if place, ok := g.known(started, j.object, j.regions); ok {
--- a/entry/internal/carrier/carrier.go
+++ b/entry/internal/carrier/carrier.go
@@ -57,7 +57,7 @@
 
 // Locator finds the target that keeps an object warm, with the other entry instances of the region.
 type Locator interface {
-	Locate(ctx context.Context, peers []locator.Peer, service string, ask placer.AssignRequest) placer.Place
+	Locate(ctx context.Context, peers []locator.Peer, service string, ask placer.AssignRequest) placer.Assignment
 	Owns(peers []locator.Peer, object uint64) bool
 }
 
@@ -171,12 +171,12 @@
 // balance tells of the objects that move to other targets.
 func (c *Carrier) balance(now time.Time, service string, g *gate) {
 	for _, m := range g.balance(now) {
-		c.settle(service, m.Object, m.Place)
+		c.settle(service, m.Object, m.Assignment)
 	}
 }
 
 // settle makes an object's new place known.
-func (c *Carrier) settle(service string, object uint64, place placer.Place) {
+func (c *Carrier) settle(service string, object uint64, place placer.Assignment) {
 	c.Views.Settle(&wire.Host{
 		Object: object, Service: service, Target: place.Target, Route: place.Route, Version: place.Version,
 	})
@@ -184,7 +184,7 @@
 	c.logPlace(service, object, place)
 }
 
-func (c *Carrier) logPlace(service string, object uint64, place placer.Place) {
+func (c *Carrier) logPlace(service string, object uint64, place placer.Assignment) {
 	_ = level.Info(c.Logger).Log("msg", "object placed", "object", hashName(object), "service", service,
 		"target", place.Target, "reason", place.Reason, "version", place.Version)
 }
@@ -232,7 +232,7 @@
 }
 
 // Assign implements locator.Assigner.
-func (c *Carrier) Assign(now time.Time, service string, ask placer.AssignRequest) placer.Place {
+func (c *Carrier) Assign(now time.Time, service string, ask placer.AssignRequest) placer.Assignment {
 	place, object := c.gate(service).assign(now, ask), placer.ObjectOf(ask.Object)
 	switch {
 	case place.Settled:
--- a/entry/internal/carrier/carrier_test.go
+++ b/entry/internal/carrier/carrier_test.go
@@ -110,8 +110,8 @@
 // alone is the only entry instance of its region; it knows no object.
 type alone struct{}
 
-func (alone) Locate(context.Context, []locator.Peer, string, placer.AssignRequest) placer.Place {
-	return placer.Place{}
+func (alone) Locate(context.Context, []locator.Peer, string, placer.AssignRequest) placer.Assignment {
+	return placer.Assignment{}
 }
 func (alone) Owns([]locator.Peer, uint64) bool { return true }
 
--- a/entry/internal/carrier/gate.go
+++ b/entry/internal/carrier/gate.go
@@ -62,7 +62,7 @@
 }
 
 // confirm notes the answer of the instance that answers for an object.
-func (g *gate) confirm(now time.Time, object string, place placer.Place) {
+func (g *gate) confirm(now time.Time, object string, place placer.Assignment) {
 	if place.Target == "" || place.First || now.Before(place.WarmAt) {
 		return
 	}
@@ -73,7 +73,7 @@
 
 // known is an object's place where that needs no question: as decided here, as told by the controllers, or as answered
 // lately.
-func (g *gate) known(now time.Time, object string, regions []string) (placer.Place, bool) {
+func (g *gate) known(now time.Time, object string, regions []string) (placer.Assignment, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	key := placer.ObjectOf(object)
@@ -82,9 +82,9 @@
 	}
 	found := g.hints[key]
 	if !now.Before(found.confirmed) || !g.place.Holds(now, found.target, regions) {
-		return placer.Place{}, false
+		return placer.Assignment{}, false
 	}
-	return placer.Place{Target: found.target, Reason: "recent"}, true
+	return placer.Assignment{Target: found.target, Reason: "recent"}, true
 }
 
 // learn takes an object's place as the controllers tell it.
@@ -177,7 +177,7 @@
 }
 
 // assign says where a request for an object goes that this instance answers for.
-func (g *gate) assign(now time.Time, ask placer.AssignRequest) placer.Place {
+func (g *gate) assign(now time.Time, ask placer.AssignRequest) placer.Assignment {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if ask.Hint == "" {
--- a/entry/internal/carrier/job.go
+++ b/entry/internal/carrier/job.go
@@ -52,7 +52,7 @@
 	// object names what the request concerns, empty for nothing that targets keep warm.
 	object string
 	// place is where the request's object is kept warm, located how long it took to find out.
-	place   placer.Place
+	place   placer.Assignment
 	located time.Duration
 }
 
--- a/entry/internal/locator/locator.go
+++ b/entry/internal/locator/locator.go
@@ -42,7 +42,7 @@
 
 // Assigner decides for the objects that this instance answers for.
 type Assigner interface {
-	Assign(now time.Time, service string, ask placer.AssignRequest) placer.Place
+	Assign(now time.Time, service string, ask placer.AssignRequest) placer.Assignment
 }
 
 // Spender counts requests of organisations whose parts this instance keeps for its region.
@@ -115,7 +115,7 @@
 
 // Locate says where a request for an object goes. An instance that does not answer is left out for a while; the one that
 // comes next takes over from the hints of those who ask.
-func (l *Locator) Locate(ctx context.Context, peers []Peer, service string, ask placer.AssignRequest) placer.Place {
+func (l *Locator) Locate(ctx context.Context, peers []Peer, service string, ask placer.AssignRequest) placer.Assignment {
 	for range 2 {
 		now := time.Now()
 		owner := l.owner(now, peers, placer.ObjectOf(ask.Object))
@@ -127,7 +127,7 @@
 			return place
 		}
 		if ctx.Err() != nil {
-			return placer.Place{}
+			return placer.Assignment{}
 		}
 		l.leaveOut(now, owner, err)
 	}
@@ -146,7 +146,7 @@
 		"err", err)
 }
 
-func (l *Locator) call(ctx context.Context, owner Peer, service string, ask placer.AssignRequest) (placer.Place, error) {
+func (l *Locator) call(ctx context.Context, owner Peer, service string, ask placer.AssignRequest) (placer.Assignment, error) {
 	ctx, cancel := context.WithTimeout(ctx, answerTimeout)
 	defer cancel()
 	client := wireconnect.NewPlacementClient(l.client, l.Dialer.URL(owner.Address))
@@ -154,9 +154,9 @@
 		Service: service, Object: ask.Object, Route: ask.Route, Hint: ask.Hint, Cold: int64(ask.Cold), Regions: ask.Regions,
 	}))
 	if err != nil {
-		return placer.Place{}, err
+		return placer.Assignment{}, err
 	}
-	place := placer.Place{Target: response.Msg.GetTarget(), Reason: owner.Name, First: response.Msg.GetFirst()}
+	place := placer.Assignment{Target: response.Msg.GetTarget(), Reason: owner.Name, First: response.Msg.GetFirst()}
 	if warming := time.Duration(response.Msg.GetWarming()); warming > 0 {
 		place.WarmAt = time.Now().Add(warming)
 	}
@@ -200,7 +200,7 @@
 	return connect.NewResponse(l.Spender.Spend(ctx, r.Msg)), nil
 }
 
-func warming(now time.Time, place placer.Place) time.Duration {
+func warming(now time.Time, place placer.Assignment) time.Duration {
 	if place.WarmAt.IsZero() {
 		return 0
 	}
--- a/entry/internal/locator/locator_test.go
+++ b/entry/internal/locator/locator_test.go
@@ -28,11 +28,11 @@
 	asked  []placer.AssignRequest
 }
 
-func (b *book) Assign(_ time.Time, _ string, ask placer.AssignRequest) placer.Place {
+func (b *book) Assign(_ time.Time, _ string, ask placer.AssignRequest) placer.Assignment {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.asked = append(b.asked, ask)
-	return placer.Place{Target: b.target, WarmAt: b.warmAt}
+	return placer.Assignment{Target: b.target, WarmAt: b.warmAt}
 }
 
 func begin(t *testing.T, name string, b *book) *Locator {
