--- a/core/placer/assigner.go
+++ b/core/placer/assigner.go
@@ -37,8 +37,8 @@
 	Reason string
 	// First is set for the request that makes the object's first run at the target.
 	First bool
-	// Settled is set when the object's place changed, or was not known to this instance.
-	Settled bool
+	// Changed is set when the object's place changed, or was not known to this instance.
+	Changed bool
 }
 
 // assigner keeps the targets of objects: of those for which this instance answers, and, as others tell, of all that the
@@ -178,7 +178,7 @@
 	}
 	a.set(object, next)
 	return Assignment{
-		Target: target, Route: ask.Route, Reason: reason, Version: next.version, First: true, Settled: true,
+		Target: target, Route: ask.Route, Reason: reason, Version: next.version, First: true, Changed: true,
 	}
 }
 
--- a/core/placer/replay_test.go
+++ b/core/placer/replay_test.go
@@ -295,7 +295,7 @@
 	if !ok {
 		place = ownerOf(object, r.near(e.region)).placer.Assign(r.now, AssignRequest{Object: t.Key, Route: k.name, Cold: t.Cold})
 	}
-	if place.Settled {
+	if place.Changed {
 		r.settle(e.region, object, place)
 	}
 	t.Host, t.WarmAt, t.First = place.Target, place.WarmAt, place.First
--- a/entry/internal/carrier/carrier.go
+++ b/entry/internal/carrier/carrier.go
@@ -235,7 +235,7 @@
 func (c *Carrier) Assign(now time.Time, service string, ask placer.AssignRequest) placer.Assignment {
 	place, object := c.gate(service).assign(now, ask), placer.ObjectOf(ask.Object)
 	switch {
-	case place.Settled:
+	case place.Changed:
 		c.settle(service, object, place)
 	case place.Reason != "known":
 		c.logPlace(service, object, place)
