--- a/core/placer/assigner.go
+++ b/core/placer/assigner.go
@@ -35,8 +35,8 @@
 	WarmAt time.Time
 	// Reason is a single word for logs: known, hint, new, joined, region, crowded or awaited.
 	Reason string
-	// First is set for the request that makes the object's first run at the target.
-	First bool
+	// FirstRun is set for the request that makes the object's first run at the target.
+	FirstRun bool
 	// Changed is set when the object's place changed, or was not known to this instance.
 	Changed bool
 }
@@ -151,7 +151,7 @@
 	}
 	if p.Holds(now, ask.Hint, ask.Regions) {
 		place := a.put(now, object, ask, ask.Hint, "hint")
-		place.First = false
+		place.FirstRun = false
 		a.objects[object].warmAt = now
 		return place
 	}
@@ -178,7 +178,7 @@
 	}
 	a.set(object, next)
 	return Assignment{
-		Target: target, Route: ask.Route, Reason: reason, Version: next.version, First: true, Changed: true,
+		Target: target, Route: ask.Route, Reason: reason, Version: next.version, FirstRun: true, Changed: true,
 	}
 }
 
--- a/entry/internal/carrier/gate.go
+++ b/entry/internal/carrier/gate.go
@@ -63,7 +63,7 @@
 
 // confirm notes the answer of the instance that answers for an object.
 func (g *gate) confirm(now time.Time, object string, place placer.Assignment) {
-	if place.Target == "" || place.First || now.Before(place.WarmAt) {
+	if place.Target == "" || place.FirstRun || now.Before(place.WarmAt) {
 		return
 	}
 	g.mu.Lock()
--- a/entry/internal/locator/locator.go
+++ b/entry/internal/locator/locator.go
@@ -156,7 +156,7 @@
 	if err != nil {
 		return placer.Assignment{}, err
 	}
-	place := placer.Assignment{Target: response.Msg.GetTarget(), Reason: owner.Name, First: response.Msg.GetFirst()}
+	place := placer.Assignment{Target: response.Msg.GetTarget(), Reason: owner.Name, FirstRun: response.Msg.GetFirst()}
 	if warming := time.Duration(response.Msg.GetWarming()); warming > 0 {
 		place.WarmAt = time.Now().Add(warming)
 	}
@@ -173,7 +173,7 @@
 		Regions: r.Msg.GetRegions(),
 	})
 	return connect.NewResponse(&wire.PlaceResponse{
-		Target: place.Target, First: place.First, Warming: int64(warming(now, place)),
+		Target: place.Target, First: place.FirstRun, Warming: int64(warming(now, place)),
 	}), nil
 }
 
