--- a/core/placer/assigner.go
+++ b/core/placer/assigner.go
@@ -17,8 +17,8 @@
 	Route string
 	// Hint is the target where the asker last saw the object, or empty.
 	Hint string
-	// Cold is what a run of the object at a target that does not have it warm is expected to take.
-	Cold time.Duration
+	// ColdTime is what a run of the object at a target that does not have it warm is expected to take.
+	ColdTime time.Duration
 	// Regions that may serve the request; empty allows all.
 	Regions []string
 }
@@ -172,7 +172,7 @@
 }
 
 func (a *assigner) put(now time.Time, object uint64, ask AssignRequest, target, reason string) Assignment {
-	next := &assigned{target: target, route: ask.Route, version: 1, placedAt: now, warmAt: now.Add(ask.Cold), ask: ask}
+	next := &assigned{target: target, route: ask.Route, version: 1, placedAt: now, warmAt: now.Add(ask.ColdTime), ask: ask}
 	if old, ok := a.objects[object]; ok {
 		next.version = old.version + 1
 	}
--- a/core/placer/assigner_test.go
+++ b/core/placer/assigner_test.go
@@ -13,7 +13,7 @@
 const coldRun = 900 * time.Millisecond
 
 func question(object string) AssignRequest {
-	return AssignRequest{Object: object, Route: "view", Cold: coldRun}
+	return AssignRequest{Object: object, Route: "view", ColdTime: coldRun}
 }
 
 // boards are fourteen targets in three regions, two of them where a third of the callers are.
--- a/core/placer/replay_test.go
+++ b/core/placer/replay_test.go
@@ -293,7 +293,7 @@
 	object := ObjectOf(t.Key)
 	place, ok := e.placer.Known(r.now, object, nil)
 	if !ok {
-		place = ownerOf(object, r.near(e.region)).placer.Assign(r.now, AssignRequest{Object: t.Key, Route: k.name, Cold: t.Cold})
+		place = ownerOf(object, r.near(e.region)).placer.Assign(r.now, AssignRequest{Object: t.Key, Route: k.name, ColdTime: t.Cold})
 	}
 	if place.Changed {
 		r.settle(e.region, object, place)
--- a/entry/internal/carrier/attempt.go
+++ b/entry/internal/carrier/attempt.go
@@ -100,7 +100,7 @@
 		}
 	}
 	place := c.Locator.Locate(j.request.Context(), j.view.Peers, j.service, placer.AssignRequest{
-		Object: j.object, Route: j.route.GetName(), Hint: g.seen(j.object), Cold: cold, Regions: j.regions,
+		Object: j.object, Route: j.route.GetName(), Hint: g.seen(j.object), ColdTime: cold, Regions: j.regions,
 	})
 	j.located = time.Since(started)
 	g.confirm(time.Now(), j.object, place)
--- a/entry/internal/locator/locator.go
+++ b/entry/internal/locator/locator.go
@@ -151,7 +151,7 @@
 	defer cancel()
 	client := wireconnect.NewPlacementClient(l.client, l.Dialer.URL(owner.Address))
 	response, err := client.Place(ctx, connect.NewRequest(&wire.PlaceRequest{
-		Service: service, Object: ask.Object, Route: ask.Route, Hint: ask.Hint, Cold: int64(ask.Cold), Regions: ask.Regions,
+		Service: service, Object: ask.Object, Route: ask.Route, Hint: ask.Hint, Cold: int64(ask.ColdTime), Regions: ask.Regions,
 	}))
 	if err != nil {
 		return placer.Assignment{}, err
@@ -169,7 +169,7 @@
 ) (*connect.Response[wire.PlaceResponse], error) {
 	now := time.Now()
 	place := l.Assigner.Assign(now, r.Msg.GetService(), placer.AssignRequest{
-		Object: r.Msg.GetObject(), Route: r.Msg.GetRoute(), Hint: r.Msg.GetHint(), Cold: time.Duration(r.Msg.GetCold()),
+		Object: r.Msg.GetObject(), Route: r.Msg.GetRoute(), Hint: r.Msg.GetHint(), ColdTime: time.Duration(r.Msg.GetCold()),
 		Regions: r.Msg.GetRegions(),
 	})
 	return connect.NewResponse(&wire.PlaceResponse{
--- a/entry/internal/locator/locator_test.go
+++ b/entry/internal/locator/locator_test.go
@@ -67,7 +67,7 @@
 	a, b := begin(t, "a", one), begin(t, "b", two)
 	peers := []Peer{{"a", serve(t, a.Handler())}, {"b", serve(t, b.Handler())}}
 	for _, owner := range []string{"a", "b"} {
-		ask := placer.AssignRequest{Object: objectOf(a, peers, owner), Route: "r", Hint: "h", Cold: time.Second, Regions: []string{"x"}}
+		ask := placer.AssignRequest{Object: objectOf(a, peers, owner), Route: "r", Hint: "h", ColdTime: time.Second, Regions: []string{"x"}}
 		first, second := a.Locate(t.Context(), peers, "s", ask), b.Locate(t.Context(), peers, "s", ask)
 		is.Equal(first.Target, second.Target)
 		is.Equal(first.WarmAt.IsZero(), second.WarmAt.IsZero())
