--- a/core/placer/assigner.go
+++ b/core/placer/assigner.go
@@ -79,8 +79,8 @@
 	ask AssignRequest
 }
 
-// ObjectOf is what an object is called where its name would be too long.
-func ObjectOf(name string) uint64 { return xxhash.Sum64String(name) }
+// ObjectHash is what an object is called where its name would be too long.
+func ObjectHash(name string) uint64 { return xxhash.Sum64String(name) }
 
 // Own tells which objects this instance answers for, as one of so many, the position-th of them.
 func (p *Placer) Own(owns func(object uint64) bool, position, of int) {
@@ -98,7 +98,7 @@
 // Assign says where a request for an object goes for which this instance answers.
 func (p *Placer) Assign(now time.Time, ask AssignRequest) Assignment {
 	a := &p.assigner
-	object := ObjectOf(ask.Object)
+	object := ObjectHash(ask.Object)
 	found, ok := a.objects[object]
 	if !ok || !p.Holds(now, found.target, ask.Regions) {
 		return p.assign(now, object, ask)
--- a/core/placer/balancer_test.go
+++ b/core/placer/balancer_test.go
@@ -86,7 +86,7 @@
 	is := is.New(t)
 	p := owner("most", boards(), 0, 2)
 	p.Own(func(uint64) bool { return false }, 0, 2)
-	object := ObjectOf("a")
+	object := ObjectHash("a")
 	_, known := p.Known(start, object, nil)
 	is.True(!known)
 	p.Learn(start, object, "most-1", "view", 2)
@@ -148,8 +148,8 @@
 	ask := question("a")
 	ask.Hint, ask.Regions = "few-0", []string{"few"}
 	p.Assign(start, ask)
-	p.Learn(start, ObjectOf("a"), "most-1", "view", 9)
-	p.assigner.objects[ObjectOf("a")].ask = ask
+	p.Learn(start, ObjectHash("a"), "most-1", "view", 9)
+	p.assigner.objects[ObjectHash("a")].ask = ask
 	now := start.Add(10 * time.Second)
 	p.Update(now, append(specs, Spec{Name: "most-9", Incarnation: 1, Region: "most", Slots: 9, Own: 1}), 1)
 	is.Equal(len(p.Balance(now)), 0)
--- a/entry/internal/asker/asker.go
+++ b/entry/internal/asker/asker.go
@@ -123,7 +123,7 @@
 }
 
 // keyOf tells an organisation from the objects that instances answer for.
-func keyOf(organisation string) uint64 { return placer.ObjectOf("organisation/" + organisation) }
+func keyOf(organisation string) uint64 { return placer.ObjectHash("organisation/" + organisation) }
 
 func (a *Asker) nudge() {
 	select {
--- a/entry/internal/carrier/answer.go
+++ b/entry/internal/carrier/answer.go
@@ -72,7 +72,7 @@
 	if object == "" {
 		return ""
 	}
-	return hashName(placer.ObjectOf(object))
+	return hashName(placer.ObjectHash(object))
 }
 
 func hashName(object uint64) string { return strconv.FormatUint(object, 36) }
--- a/entry/internal/carrier/carrier.go
+++ b/entry/internal/carrier/carrier.go
@@ -233,7 +233,7 @@
 
 // Assign implements locator.Assigner.
 func (c *Carrier) Assign(now time.Time, service string, ask placer.AssignRequest) placer.Assignment {
-	place, object := c.gate(service).assign(now, ask), placer.ObjectOf(ask.Object)
+	place, object := c.gate(service).assign(now, ask), placer.ObjectHash(ask.Object)
 	switch {
 	case place.Changed:
 		c.settle(service, object, place)
--- a/entry/internal/carrier/gate.go
+++ b/entry/internal/carrier/gate.go
@@ -48,7 +48,7 @@
 	if object == "" {
 		return
 	}
-	key := placer.ObjectOf(object)
+	key := placer.ObjectHash(object)
 	if g.hints[key].target != target {
 		g.note(key, hint{target: target})
 	}
@@ -68,7 +68,7 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.note(placer.ObjectOf(object), hint{place.Target, now.Add(confirmation)})
+	g.note(placer.ObjectHash(object), hint{place.Target, now.Add(confirmation)})
 }
 
 // known is an object's place where that needs no question: as decided here, as told by the controllers, or as answered
@@ -76,7 +76,7 @@
 func (g *gate) known(now time.Time, object string, regions []string) (placer.Assignment, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	key := placer.ObjectOf(object)
+	key := placer.ObjectHash(object)
 	if place, ok := g.place.Known(now, key, regions); ok {
 		return place, true
 	}
@@ -112,7 +112,7 @@
 func (g *gate) seen(object string) string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.hints[placer.ObjectOf(object)].target
+	return g.hints[placer.ObjectHash(object)].target
 }
 
 func newGate(region, zone string) *gate {
@@ -181,7 +181,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if ask.Hint == "" {
-		ask.Hint = g.hints[placer.ObjectOf(ask.Object)].target
+		ask.Hint = g.hints[placer.ObjectHash(ask.Object)].target
 	}
 	return g.place.Assign(now, ask)
 }
--- a/entry/internal/locator/locator.go
+++ b/entry/internal/locator/locator.go
@@ -118,7 +118,7 @@
 func (l *Locator) Locate(ctx context.Context, peers []Peer, service string, ask placer.AssignRequest) placer.Assignment {
 	for range 2 {
 		now := time.Now()
-		owner := l.owner(now, peers, placer.ObjectOf(ask.Object))
+		owner := l.owner(now, peers, placer.ObjectHash(ask.Object))
 		if owner.Name == l.Self {
 			break
 		}
--- a/entry/internal/locator/locator_test.go
+++ b/entry/internal/locator/locator_test.go
@@ -53,7 +53,7 @@
 // objectOf returns an object that an instance answers for.
 func objectOf(l *Locator, peers []Peer, owner string) string {
 	for i := 0; ; i++ {
-		if object := fmt.Sprint(i); l.owner(time.Now(), peers, placer.ObjectOf(object)).Name == owner {
+		if object := fmt.Sprint(i); l.owner(time.Now(), peers, placer.ObjectHash(object)).Name == owner {
 			return object
 		}
 	}
@@ -72,7 +72,7 @@
 		is.Equal(first.Target, second.Target)
 		is.Equal(first.WarmAt.IsZero(), second.WarmAt.IsZero())
 		is.Equal(first.Target, map[string]string{"a": "t1", "b": "t2"}[owner])
-		is.True(a.Owns(peers, placer.ObjectOf(ask.Object)) == (owner == "a"))
+		is.True(a.Owns(peers, placer.ObjectHash(ask.Object)) == (owner == "a"))
 	}
 	is.Equal(one.asked[0], one.asked[1])
 	is.Equal(two.asked[0].Regions, []string{"x"})
@@ -95,7 +95,7 @@
 	}
 	is.True(time.Since(start) < shun)
 	is.Equal(b.asked[0].Hint, "t9")
-	is.True(l.Owns(peers, placer.ObjectOf(object)))
+	is.True(l.Owns(peers, placer.ObjectHash(object)))
 }
 
 // Instances hear of another one before it serves its peers, or have no address of it. The request must not fail for it.
@@ -120,7 +120,7 @@
 			l := begin(t, "a", &book{})
 			peers := []Peer{{"a", netip.AddrPort{}}, {"slow", serve(t, hangs)}}
 			t.Cleanup(func() { close(release) })
-			object := placer.ObjectOf(objectOf(l, peers, "slow"))
+			object := placer.ObjectHash(objectOf(l, peers, "slow"))
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
 			if leaves {
