--- a/core/placer/assigner.go
+++ b/core/placer/assigner.go
@@ -82,8 +82,8 @@
 // ObjectHash is what an object is called where its name would be too long.
 func ObjectHash(name string) uint64 { return xxhash.Sum64String(name) }
 
-// Own tells which objects this instance answers for, as one of so many, the position-th of them.
-func (p *Placer) Own(owns func(object uint64) bool, position, of int) {
+// SetOwnership tells which objects this instance answers for, as one of so many, the position-th of them.
+func (p *Placer) SetOwnership(owns func(object uint64) bool, position, of int) {
 	a := &p.assigner
 	a.owns = owns
 	a.offset, a.of = float64(position)/float64(max(1, of)), of
--- a/core/placer/assigner_test.go
+++ b/core/placer/assigner_test.go
@@ -32,7 +32,7 @@
 func owner(region string, specs []Spec, position, of int) *Placer {
 	p := &Placer{Region: region, Zone: region, Far: 24 * time.Millisecond}
 	p.Update(start.Add(-time.Minute), specs, of)
-	p.Own(func(uint64) bool { return true }, position, of)
+	p.SetOwnership(func(uint64) bool { return true }, position, of)
 	return p
 }
 
--- a/core/placer/balancer_test.go
+++ b/core/placer/balancer_test.go
@@ -85,7 +85,7 @@
 func TestPlacesAreLearned(t *testing.T) {
 	is := is.New(t)
 	p := owner("most", boards(), 0, 2)
-	p.Own(func(uint64) bool { return false }, 0, 2)
+	p.SetOwnership(func(uint64) bool { return false }, 0, 2)
 	object := ObjectHash("a")
 	_, known := p.Known(start, object, nil)
 	is.True(!known)
@@ -102,7 +102,7 @@
 	t.Run("by the next one to answer", func(t *testing.T) {
 		is := is.New(t)
 		p.Learn(start, object, "most-3", "view", 7)
-		p.Own(func(uint64) bool { return true }, 0, 1)
+		p.SetOwnership(func(uint64) bool { return true }, 0, 1)
 		is.Equal(p.Assign(start, question("a")).Target, "most-3")
 		is.Equal(len(p.assigner.own), 1)
 	})
--- a/core/placer/replay_test.go
+++ b/core/placer/replay_test.go
@@ -202,7 +202,7 @@
 		e.placer.Update(at, specs, len(r.entries))
 		near := r.near(e.region)
 		owns := func(object uint64) bool { return ownerOf(object, near) == e }
-		e.placer.Own(owns, slices.Index(near, e), r.world.entries)
+		e.placer.SetOwnership(owns, slices.Index(near, e), r.world.entries)
 	}
 }
 
--- a/entry/internal/carrier/gate.go
+++ b/entry/internal/carrier/gate.go
@@ -126,7 +126,7 @@
 	withdrawn := g.place.Update(now, specs, v.Entries)
 	if g.peers == nil || !slices.Equal(g.peers, v.Peers) {
 		g.peers = v.Peers
-		g.place.Own(func(object uint64) bool { return peers.Owns(v.Peers, object) }, self, len(v.Peers))
+		g.place.SetOwnership(func(object uint64) bool { return peers.Owns(v.Peers, object) }, self, len(v.Peers))
 	}
 	announce(g.place.Tick(now))
 	return withdrawn
