--- a/core/placer/assigner.go
+++ b/core/placer/assigner.go
@@ -116,8 +116,8 @@
 	return place
 }
 
-// Known is an object's place as this instance was told or decided itself, false if it has to be asked for.
-func (p *Placer) Known(now time.Time, object uint64, regions []string) (Assignment, bool) {
+// Lookup is an object's place as this instance was told or decided itself, false if it has to be asked for.
+func (p *Placer) Lookup(now time.Time, object uint64, regions []string) (Assignment, bool) {
 	found, ok := p.assigner.objects[object]
 	if !ok || !p.Holds(now, found.target, regions) {
 		return Assignment{}, false
--- a/core/placer/replay_test.go
+++ b/core/placer/replay_test.go
@@ -291,7 +291,7 @@
 // locate finds where a request should go, by asking the instance that answers for the object if need be.
 func (r *replay) locate(e *instance, k kind, t *Ticket) {
 	object := ObjectHash(t.Key)
-	place, ok := e.placer.Known(r.now, object, nil)
+	place, ok := e.placer.Lookup(r.now, object, nil)
 	if !ok {
 		place = ownerOf(object, r.near(e.region)).placer.Assign(r.now, AssignRequest{Object: t.Key, Route: k.name, ColdTime: t.Cold})
 	}
--- a/entry/internal/carrier/gate.go
+++ b/entry/internal/carrier/gate.go
@@ -77,7 +77,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	key := placer.ObjectHash(object)
-	if place, ok := g.place.Known(now, key, regions); ok {
+	if place, ok := g.place.Lookup(now, key, regions); ok {
 		return place, true
 	}
 	found := g.hints[key]
