--- a/core/placer/assigner.go
+++ b/core/placer/assigner.go
@@ -134,8 +134,8 @@
 	return target < oldTarget
 }
 
-// Learn takes what another instance decided, or what this one did in an earlier run.
-func (p *Placer) Learn(now time.Time, object uint64, target, route string, version uint64) {
+// RecordAssignment takes what another instance decided, or what this one did in an earlier run.
+func (p *Placer) RecordAssignment(now time.Time, object uint64, target, route string, version uint64) {
 	a := &p.assigner
 	if old, ok := a.objects[object]; ok && !Supersedes(version, target, old.version, old.target) {
 		return
--- a/core/placer/balancer_test.go
+++ b/core/placer/balancer_test.go
@@ -89,19 +89,19 @@
 	object := ObjectHash("a")
 	_, known := p.Lookup(start, object, nil)
 	is.True(!known)
-	p.Learn(start, object, "most-1", "view", 2)
-	p.Learn(start, object, "most-2", "view", 1) // late news
+	p.RecordAssignment(start, object, "most-1", "view", 2)
+	p.RecordAssignment(start, object, "most-2", "view", 1) // late news
 	place, known := p.Lookup(start, object, nil)
 	is.True(known)
 	is.Equal(place.Target, "most-1")
 	_, known = p.Lookup(start, object, []string{"few"})
 	is.True(!known)
-	p.Learn(start, object, "gone", "view", 3)
+	p.RecordAssignment(start, object, "gone", "view", 3)
 	_, known = p.Lookup(start, object, nil)
 	is.True(!known)
 	t.Run("by the next one to answer", func(t *testing.T) {
 		is := is.New(t)
-		p.Learn(start, object, "most-3", "view", 7)
+		p.RecordAssignment(start, object, "most-3", "view", 7)
 		p.SetOwnership(func(uint64) bool { return true }, 0, 1)
 		is.Equal(p.Assign(start, question("a")).Target, "most-3")
 		is.Equal(len(p.assigner.own), 1)
@@ -125,7 +125,7 @@
 	for i := range 60 {
 		p := owner("r", specs, i, 60)
 		for n := range 180 { // all but a few targets have three objects
-			p.Learn(start, uint64(n), specs[4+n%56].Name, "view", 1)
+			p.RecordAssignment(start, uint64(n), specs[4+n%56].Name, "view", 1)
 		}
 		for n := range 2 {
 			counts[p.Assign(start, question(fmt.Sprint(i, "/", n))).Target]++
@@ -148,7 +148,7 @@
 	ask := question("a")
 	ask.Hint, ask.Regions = "few-0", []string{"few"}
 	p.Assign(start, ask)
-	p.Learn(start, ObjectHash("a"), "most-1", "view", 9)
+	p.RecordAssignment(start, ObjectHash("a"), "most-1", "view", 9)
 	p.assigner.objects[ObjectHash("a")].ask = ask
 	now := start.Add(10 * time.Second)
 	p.Update(now, append(specs, Spec{Name: "most-9", Incarnation: 1, Region: "most", Slots: 9, Own: 1}), 1)
--- a/core/placer/replay_test.go
+++ b/core/placer/replay_test.go
@@ -308,7 +308,7 @@
 	}
 	r.after(tellDelay, func() {
 		for _, e := range r.near(region) {
-			e.placer.Learn(r.now, object, place.Target, place.Route, place.Version)
+			e.placer.RecordAssignment(r.now, object, place.Target, place.Route, place.Version)
 		}
 	})
 }
--- a/entry/internal/carrier/gate.go
+++ b/entry/internal/carrier/gate.go
@@ -91,7 +91,7 @@
 func (g *gate) learn(now time.Time, h *wire.Host) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.place.Learn(now, h.GetObject(), h.GetTarget(), h.GetRoute(), h.GetVersion())
+	g.place.RecordAssignment(now, h.GetObject(), h.GetTarget(), h.GetRoute(), h.GetVersion())
 }
 
 // hear takes the loads of targets as the controllers tell them.
