--- a/core/placer/assigner.go
+++ b/core/placer/assigner.go
@@ -100,7 +100,7 @@
 	a := &p.assigner
 	object := ObjectHash(ask.Object)
 	found, ok := a.objects[object]
-	if !ok || !p.Holds(now, found.target, ask.Regions) {
+	if !ok || !p.Eligible(now, found.target, ask.Regions) {
 		return p.assign(now, object, ask)
 	}
 	found.ask = ask
@@ -119,7 +119,7 @@
 // Lookup is an object's place as this instance was told or decided itself, false if it has to be asked for.
 func (p *Placer) Lookup(now time.Time, object uint64, regions []string) (Assignment, bool) {
 	found, ok := p.assigner.objects[object]
-	if !ok || !p.Holds(now, found.target, regions) {
+	if !ok || !p.Eligible(now, found.target, regions) {
 		return Assignment{}, false
 	}
 	return found.place(now), true
@@ -149,7 +149,7 @@
 	if old, ok := a.objects[object]; ok && ask.Hint == "" {
 		ask.Hint = old.target
 	}
-	if p.Holds(now, ask.Hint, ask.Regions) {
+	if p.Eligible(now, ask.Hint, ask.Regions) {
 		place := a.put(now, object, ask, ask.Hint, "hint")
 		place.FirstRun = false
 		a.objects[object].warmAt = now
@@ -220,8 +220,8 @@
 	return p.byName[target.Name] == target && !target.down(now) && inRegions(target.Region, regions)
 }
 
-// Holds reports whether a target may be used for an object that it has warm.
-func (p *Placer) Holds(now time.Time, target string, regions []string) bool {
+// Eligible reports whether a target may be used for an object that it has warm.
+func (p *Placer) Eligible(now time.Time, target string, regions []string) bool {
 	found, ok := p.byName[target]
 	return ok && p.keeps(now, found, regions)
 }
--- a/entry/internal/carrier/gate.go
+++ b/entry/internal/carrier/gate.go
@@ -81,7 +81,7 @@
 		return place, true
 	}
 	found := g.hints[key]
-	if !now.Before(found.confirmed) || !g.place.Holds(now, found.target, regions) {
+	if !now.Before(found.confirmed) || !g.place.Eligible(now, found.target, regions) {
 		return placer.Assignment{}, false
 	}
 	return placer.Assignment{Target: found.target, Reason: "recent"}, true
