--- a/core/placer/bench_test.go
+++ b/core/placer/bench_test.go
@@ -21,7 +21,7 @@
 	for i := range b.N {
 		now = now.Add(10 * time.Millisecond)
 		t := &Ticket{
-			Key: fmt.Sprint(i % 300), Aim: now.Add(time.Second), Deadline: now.Add(3 * time.Second),
+			Key: fmt.Sprint(i % 300), SoftDeadline: now.Add(time.Second), Deadline: now.Add(3 * time.Second),
 			Warm: 100 * time.Millisecond, Cold: 400 * time.Millisecond, Decided: make(chan Decision, 1),
 		}
 		if d, decided := p.Offer(now, t); decided && d.Target != nil {
--- a/core/placer/choice.go
+++ b/core/placer/choice.go
@@ -62,7 +62,7 @@
 // enter returns the host of a request's object if it has room. A request that comes while the object runs there for
 // the first time waits: it would run cold beside that run, for three times the slots' time, and end no sooner.
 func (p *Placer) enter(now time.Time, t *Ticket, host *Target) *Target {
-	if now.Before(t.WarmAt) && (p.load.scarce || now.Add(t.Cold).After(t.Aim)) {
+	if now.Before(t.WarmAt) && (p.load.scarce || now.Add(t.Cold).After(t.SoftDeadline)) {
 		return nil
 	}
 	if !host.usable(now) {
--- a/core/placer/placer.go
+++ b/core/placer/placer.go
@@ -41,9 +41,9 @@
 	// Rank is the caller's own priority, which goes before that of what it asks for; 0 is the most urgent of both.
 	Rank     int32
 	Priority int32
-	// Aim is until when an answer is on time, Deadline until when it is of use at all.
-	Aim      time.Time
-	Deadline time.Time
+	// SoftDeadline is until when an answer is on time, Deadline until when it is of use at all.
+	SoftDeadline time.Time
+	Deadline     time.Time
 	// Warm and Cold are the expected service times at a target that has the object warm, and at another.
 	Warm time.Duration
 	Cold time.Duration
--- a/core/placer/placer_test.go
+++ b/core/placer/placer_test.go
@@ -23,7 +23,7 @@
 
 func ticket(priority int32) *Ticket {
 	return &Ticket{
-		Priority: priority, Aim: start.Add(500 * time.Millisecond), Deadline: start.Add(2 * time.Second),
+		Priority: priority, SoftDeadline: start.Add(500 * time.Millisecond), Deadline: start.Add(2 * time.Second),
 		Warm: 100 * time.Millisecond, Cold: 100 * time.Millisecond, Decided: make(chan Decision, 1),
 	}
 }
@@ -141,7 +141,7 @@
 	now := start
 	at := func(d time.Duration) *Ticket {
 		k := ticket(0)
-		k.Aim, k.Deadline = now.Add(300*time.Millisecond), now.Add(d)
+		k.SoftDeadline, k.Deadline = now.Add(300*time.Millisecond), now.Add(d)
 		return k
 	}
 	running, _ := p.Offer(now, at(time.Minute))
--- a/core/placer/queue.go
+++ b/core/placer/queue.go
@@ -23,10 +23,10 @@
 // giveUp is until when a ticket waits: while it can be on time, and a little beyond.
 func (p *Placer) giveUp(now time.Time, t *Ticket) time.Time {
 	// A first run that begins later than this would be cut off at the deadline; its caller can come back with time anew.
-	if last := t.Deadline.Add(-t.Cold); t.First && !last.After(t.Aim) {
+	if last := t.Deadline.Add(-t.Cold); t.First && !last.After(t.SoftDeadline) {
 		return last
 	}
-	onTime := t.Aim.Add(-t.Warm)
+	onTime := t.SoftDeadline.Add(-t.Warm)
 	late := now.Add(t.Deadline.Sub(now) / holdParts)
 	if last := t.Deadline.Add(-t.Warm); late.After(last) {
 		late = last
@@ -66,7 +66,7 @@
 	return a.arrived.Before(b.arrived)
 }
 
-func (t *Ticket) onTime(now time.Time) bool { return !now.Add(t.Warm).After(t.Aim) }
+func (t *Ticket) onTime(now time.Time) bool { return !now.Add(t.Warm).After(t.SoftDeadline) }
 
 // expectedWait estimates how long a ticket would wait for a slot: as long as those ahead of it take at the rate at which
 // waiting requests were placed lately. That fades into the rate of this instance's part of the slots: remembered for
--- a/core/placer/spread_test.go
+++ b/core/placer/spread_test.go
@@ -44,7 +44,7 @@
 	t.Run("before", func(t *testing.T) { assertShare(t, p, "few", 0.375) })
 	t.Run("after the first request", func(t *testing.T) {
 		later := start.Add(time.Minute)
-		_, _ = p.Offer(later, &Ticket{Aim: later.Add(time.Second), Deadline: later.Add(3 * time.Second)})
+		_, _ = p.Offer(later, &Ticket{SoftDeadline: later.Add(time.Second), Deadline: later.Add(3 * time.Second)})
 		p.Update(later, first, 3)
 		assertShare(t, p, "few", 0.375)
 	})
