--- a/core/placer/choice.go
+++ b/core/placer/choice.go
@@ -143,7 +143,7 @@
 // cost estimates the time to the answer; false means that the target has no room for one more. Chance is how likely the
 // target has the object warm.
 func (p *Placer) cost(now time.Time, target *Target, t *Ticket, chance float64) (time.Duration, bool) {
-	work := time.Duration(chance*float64(t.Warm) + (1-chance)*float64(t.Cold))
+	work := time.Duration(chance*float64(t.WarmTime) + (1-chance)*float64(t.Cold))
 	queue := warmQueue * chance
 	slots := float64(target.Slots)
 	held := p.held(now, target)
--- a/core/placer/placer.go
+++ b/core/placer/placer.go
@@ -44,9 +44,9 @@
 	// SoftDeadline is until when an answer is on time, Deadline until when it is of use at all.
 	SoftDeadline time.Time
 	Deadline     time.Time
-	// Warm and Cold are the expected service times at a target that has the object warm, and at another.
-	Warm time.Duration
-	Cold time.Duration
+	// WarmTime and Cold are the expected service times at a target that has the object warm, and at another.
+	WarmTime time.Duration
+	Cold     time.Duration
 	// Tried are targets not to use again.
 	Tried []string
 	// Regions that may serve the request; empty allows all.
--- a/core/placer/queue.go
+++ b/core/placer/queue.go
@@ -26,9 +26,9 @@
 	if last := t.Deadline.Add(-t.Cold); t.First && !last.After(t.SoftDeadline) {
 		return last
 	}
-	onTime := t.SoftDeadline.Add(-t.Warm)
+	onTime := t.SoftDeadline.Add(-t.WarmTime)
 	late := now.Add(t.Deadline.Sub(now) / holdParts)
-	if last := t.Deadline.Add(-t.Warm); late.After(last) {
+	if last := t.Deadline.Add(-t.WarmTime); late.After(last) {
 		late = last
 	}
 	if onTime.After(late) {
@@ -66,7 +66,7 @@
 	return a.arrived.Before(b.arrived)
 }
 
-func (t *Ticket) onTime(now time.Time) bool { return !now.Add(t.Warm).After(t.SoftDeadline) }
+func (t *Ticket) onTime(now time.Time) bool { return !now.Add(t.WarmTime).After(t.SoftDeadline) }
 
 // expectedWait estimates how long a ticket would wait for a slot: as long as those ahead of it take at the rate at which
 // waiting requests were placed lately. That fades into the rate of this instance's part of the slots: remembered for
@@ -75,7 +75,7 @@
 	if host := p.host(now, t); host != nil {
 		slots := float64(max(1, host.Slots))
 		queue := time.Duration(float64(p.usual()) * float64(p.ahead(now, t)+1) / slots)
-		queue += time.Duration(float64(t.Warm) * max(0, p.waiting(now, host)) / slots)
+		queue += time.Duration(float64(t.WarmTime) * max(0, p.waiting(now, host)) / slots)
 		return max(queue, t.WarmAt.Sub(now))
 	}
 	weight := gauger.Fade(now.Sub(p.gapAt), gapLife)
--- a/core/placer/replay_test.go
+++ b/core/placer/replay_test.go
@@ -253,7 +253,7 @@
 	t := &Ticket{
 		Key: key, Priority: k.priority,
 		SoftDeadline: arrived.Add(k.aim - 2*callerWay), Deadline: arrived.Add(k.deadline),
-		Warm: time.Duration(r.world.warm * float64(k.work)), Cold: k.work, Decided: make(chan Decision, 1),
+		WarmTime: time.Duration(r.world.warm * float64(k.work)), Cold: k.work, Decided: make(chan Decision, 1),
 	}
 	if r.world.agreed {
 		r.locate(e, k, t)
--- a/entry/internal/carrier/attempt.go
+++ b/entry/internal/carrier/attempt.go
@@ -75,7 +75,7 @@
 		Priority:     j.route.GetPriority(),
 		SoftDeadline: j.started.Add(time.Duration(j.route.GetAim())),
 		Deadline:     j.deadline,
-		Warm:         warm,
+		WarmTime:     warm,
 		Cold:         cold,
 		Tried:        tried,
 		Regions:      j.regions,
