--- a/core/placer/assigner_test.go
+++ b/core/placer/assigner_test.go
@@ -57,7 +57,7 @@
 	is.Equal(second.WarmAt, start.Add(coldRun))
 	k := ticket(0)
 	k.Key, k.Host, k.WarmAt = "a", second.Target, second.WarmAt
-	k.Cold, k.SoftDeadline, k.Deadline = coldRun, start.Add(600*time.Millisecond), start.Add(4*time.Second)
+	k.ColdTime, k.SoftDeadline, k.Deadline = coldRun, start.Add(600*time.Millisecond), start.Add(4*time.Second)
 	_, decided := p.Offer(start.Add(100*time.Millisecond), k)
 	is.True(!decided)
 	is.Equal(len(p.Tick(start.Add(coldRun-time.Millisecond))), 0)
@@ -73,7 +73,7 @@
 	p := owner("many", boards(), 0, 1)
 	k := ticket(0)
 	k.Key, k.Host, k.WarmAt = "a", "many-0", start.Add(coldRun)
-	k.Cold, k.SoftDeadline, k.Deadline = coldRun, start.Add(400*time.Millisecond), start.Add(time.Second)
+	k.ColdTime, k.SoftDeadline, k.Deadline = coldRun, start.Add(400*time.Millisecond), start.Add(time.Second)
 	decision, decided := p.Offer(start, k)
 	is.True(decided && decision.Target == nil)
 	is.Equal(decision.Retry, start.Add(coldRun))
@@ -246,7 +246,7 @@
 	busy, _ := p.Offer(start, &Ticket{Host: "a", Deadline: start.Add(time.Minute)})
 	is.True(busy.Target != nil)
 	k := &Ticket{
-		Host: "a", First: true, WarmTime: 300 * time.Millisecond, Cold: 1100 * time.Millisecond, SoftDeadline: start.Add(800 * time.Millisecond),
+		Host: "a", First: true, WarmTime: 300 * time.Millisecond, ColdTime: 1100 * time.Millisecond, SoftDeadline: start.Add(800 * time.Millisecond),
 		Deadline: start.Add(1200 * time.Millisecond), Decided: make(chan Decision, 1),
 	}
 	decision, decided := p.Offer(start, k)
--- a/core/placer/bench_test.go
+++ b/core/placer/bench_test.go
@@ -22,7 +22,7 @@
 		now = now.Add(10 * time.Millisecond)
 		t := &Ticket{
 			Key: fmt.Sprint(i % 300), SoftDeadline: now.Add(time.Second), Deadline: now.Add(3 * time.Second),
-			WarmTime: 100 * time.Millisecond, Cold: 400 * time.Millisecond, Decided: make(chan Decision, 1),
+			WarmTime: 100 * time.Millisecond, ColdTime: 400 * time.Millisecond, Decided: make(chan Decision, 1),
 		}
 		if d, decided := p.Offer(now, t); decided && d.Target != nil {
 			load := &messenger.Load{Running: 2, Slots: 6}
--- a/core/placer/choice.go
+++ b/core/placer/choice.go
@@ -62,7 +62,7 @@
 // enter returns the host of a request's object if it has room. A request that comes while the object runs there for
 // the first time waits: it would run cold beside that run, for three times the slots' time, and end no sooner.
 func (p *Placer) enter(now time.Time, t *Ticket, host *Target) *Target {
-	if now.Before(t.WarmAt) && (p.load.scarce || now.Add(t.Cold).After(t.SoftDeadline)) {
+	if now.Before(t.WarmAt) && (p.load.scarce || now.Add(t.ColdTime).After(t.SoftDeadline)) {
 		return nil
 	}
 	if !host.usable(now) {
@@ -143,7 +143,7 @@
 // cost estimates the time to the answer; false means that the target has no room for one more. Chance is how likely the
 // target has the object warm.
 func (p *Placer) cost(now time.Time, target *Target, t *Ticket, chance float64) (time.Duration, bool) {
-	work := time.Duration(chance*float64(t.WarmTime) + (1-chance)*float64(t.Cold))
+	work := time.Duration(chance*float64(t.WarmTime) + (1-chance)*float64(t.ColdTime))
 	queue := warmQueue * chance
 	slots := float64(target.Slots)
 	held := p.held(now, target)
--- a/core/placer/overflow.go
+++ b/core/placer/overflow.go
@@ -74,7 +74,7 @@
 		return nil
 	}
 	late := !t.onTime(now.Add(p.expectedWait(now, t)))
-	cutOff := now.Add(t.Cold).After(t.Deadline)
+	cutOff := now.Add(t.ColdTime).After(t.Deadline)
 	for _, target := range p.hosts.of(t.Key) {
 		if target == host || !p.mayOverflow(now, t, host, target) || p.free(now, target) < 1 {
 			continue
--- a/core/placer/overflow_test.go
+++ b/core/placer/overflow_test.go
@@ -50,7 +50,7 @@
 // ask offers a request for an object whose host is the first target of the region.
 func (p *peak) ask(object string, aim time.Duration) (Decision, bool) {
 	return p.Offer(p.now, &Ticket{
-		Key: object, Host: "most-0", WarmTime: 250 * time.Millisecond, Cold: coldRun, SoftDeadline: p.now.Add(aim),
+		Key: object, Host: "most-0", WarmTime: 250 * time.Millisecond, ColdTime: coldRun, SoftDeadline: p.now.Add(aim),
 		Deadline: p.now.Add(4 * time.Second), Decided: make(chan Decision, 1),
 	})
 }
@@ -93,7 +93,7 @@
 	is := is.New(t)
 	p := newPeak()
 	decision, decided := p.Offer(p.now, &Ticket{
-		Key: "object", Host: "most-0", WarmTime: 250 * time.Millisecond, Cold: coldRun, SoftDeadline: p.now.Add(100 * time.Millisecond),
+		Key: "object", Host: "most-0", WarmTime: 250 * time.Millisecond, ColdTime: coldRun, SoftDeadline: p.now.Add(100 * time.Millisecond),
 		Deadline: p.now.Add(coldRun / 2), Decided: make(chan Decision, 1),
 	})
 	is.True(!decided || decision.Target == nil)
--- a/core/placer/placer.go
+++ b/core/placer/placer.go
@@ -46,7 +46,7 @@
 	Deadline     time.Time
 	// WarmTime and Cold are the expected service times at a target that has the object warm, and at another.
 	WarmTime time.Duration
-	Cold     time.Duration
+	ColdTime time.Duration
 	// Tried are targets not to use again.
 	Tried []string
 	// Regions that may serve the request; empty allows all.
--- a/core/placer/placer_test.go
+++ b/core/placer/placer_test.go
@@ -24,7 +24,7 @@
 func ticket(priority int32) *Ticket {
 	return &Ticket{
 		Priority: priority, SoftDeadline: start.Add(500 * time.Millisecond), Deadline: start.Add(2 * time.Second),
-		WarmTime: 100 * time.Millisecond, Cold: 100 * time.Millisecond, Decided: make(chan Decision, 1),
+		WarmTime: 100 * time.Millisecond, ColdTime: 100 * time.Millisecond, Decided: make(chan Decision, 1),
 	}
 }
 
--- a/core/placer/replay_test.go
+++ b/core/placer/replay_test.go
@@ -253,7 +253,7 @@
 	t := &Ticket{
 		Key: key, Priority: k.priority,
 		SoftDeadline: arrived.Add(k.aim - 2*callerWay), Deadline: arrived.Add(k.deadline),
-		WarmTime: time.Duration(r.world.warm * float64(k.work)), Cold: k.work, Decided: make(chan Decision, 1),
+		WarmTime: time.Duration(r.world.warm * float64(k.work)), ColdTime: k.work, Decided: make(chan Decision, 1),
 	}
 	if r.world.agreed {
 		r.locate(e, k, t)
@@ -293,7 +293,7 @@
 	object := ObjectHash(t.Key)
 	place, ok := e.placer.Lookup(r.now, object, nil)
 	if !ok {
-		place = ownerOf(object, r.near(e.region)).placer.Assign(r.now, AssignRequest{Object: t.Key, Route: k.name, ColdTime: t.Cold})
+		place = ownerOf(object, r.near(e.region)).placer.Assign(r.now, AssignRequest{Object: t.Key, Route: k.name, ColdTime: t.ColdTime})
 	}
 	if place.Changed {
 		r.settle(e.region, object, place)
--- a/core/placer/withdrawn_test.go
+++ b/core/placer/withdrawn_test.go
@@ -25,7 +25,7 @@
 			is.Equal(len(p.Update(start.Add(-time.Minute), specs, 1)), 0)
 			decision, decided := p.Offer(start, &Ticket{
 				SoftDeadline: start.Add(time.Second), Deadline: start.Add(2 * time.Second), WarmTime: time.Millisecond,
-				Cold: time.Millisecond, Decided: make(chan Decision, 1),
+				ColdTime: time.Millisecond, Decided: make(chan Decision, 1),
 			})
 			is.True(decided)
 			is.True(decision.Target != nil)
--- a/entry/internal/carrier/attempt.go
+++ b/entry/internal/carrier/attempt.go
@@ -76,7 +76,7 @@
 		SoftDeadline: j.started.Add(time.Duration(j.route.GetAim())),
 		Deadline:     j.deadline,
 		WarmTime:     warm,
-		Cold:         cold,
+		ColdTime:     cold,
 		Tried:        tried,
 		Regions:      j.regions,
 		Decided:      make(chan placer.Decision, 1),
