--- a/core/placer/assigner_test.go
+++ b/core/placer/assigner_test.go
@@ -246,7 +246,7 @@
 	busy, _ := p.Offer(start, &Ticket{Host: "a", Deadline: start.Add(time.Minute)})
 	is.True(busy.Target != nil)
 	k := &Ticket{
-		Host: "a", First: true, WarmTime: 300 * time.Millisecond, ColdTime: 1100 * time.Millisecond, SoftDeadline: start.Add(800 * time.Millisecond),
+		Host: "a", FirstRun: true, WarmTime: 300 * time.Millisecond, ColdTime: 1100 * time.Millisecond, SoftDeadline: start.Add(800 * time.Millisecond),
 		Deadline: start.Add(1200 * time.Millisecond), Decided: make(chan Decision, 1),
 	}
 	decision, decided := p.Offer(start, k)
--- a/core/placer/choice.go
+++ b/core/placer/choice.go
@@ -69,7 +69,7 @@
 		return nil
 	}
 	chance := warmChance(0)
-	if t.First {
+	if t.FirstRun {
 		chance = 0
 	}
 	if _, ok := p.cost(now, host, t, chance); !ok {
--- a/core/placer/overflow.go
+++ b/core/placer/overflow.go
@@ -70,7 +70,7 @@
 // beside returns a target that takes a request whose host is full: one that has the object warm, or, if the request
 // would be late at its host, the object's next one by hash.
 func (p *Placer) beside(now time.Time, t *Ticket, host *Target) *Target {
-	if t.First || now.Before(t.WarmAt) {
+	if t.FirstRun || now.Before(t.WarmAt) {
 		return nil
 	}
 	late := !t.onTime(now.Add(p.expectedWait(now, t)))
--- a/core/placer/placer.go
+++ b/core/placer/placer.go
@@ -55,8 +55,8 @@
 	// there is expected to have ended, zero if it has.
 	Host   string
 	WarmAt time.Time
-	// First: this is the object's first run at its host.
-	First bool
+	// FirstRun: this is the object's first run at its host.
+	FirstRun bool
 	// Decided receives the decision on a ticket that has to wait; it needs room for one.
 	Decided chan Decision
 
--- a/core/placer/queue.go
+++ b/core/placer/queue.go
@@ -23,7 +23,7 @@
 // giveUp is until when a ticket waits: while it can be on time, and a little beyond.
 func (p *Placer) giveUp(now time.Time, t *Ticket) time.Time {
 	// A first run that begins later than this would be cut off at the deadline; its caller can come back with time anew.
-	if last := t.Deadline.Add(-t.ColdTime); t.First && !last.After(t.SoftDeadline) {
+	if last := t.Deadline.Add(-t.ColdTime); t.FirstRun && !last.After(t.SoftDeadline) {
 		return last
 	}
 	onTime := t.SoftDeadline.Add(-t.WarmTime)
--- a/core/placer/replay_test.go
+++ b/core/placer/replay_test.go
@@ -298,7 +298,7 @@
 	if place.Changed {
 		r.settle(e.region, object, place)
 	}
-	t.Host, t.WarmAt, t.First = place.Target, place.WarmAt, place.FirstRun
+	t.Host, t.WarmAt, t.FirstRun = place.Target, place.WarmAt, place.FirstRun
 }
 
 // settle tells all instances of a region about a place, as the controllers do.
--- a/entry/internal/carrier/attempt.go
+++ b/entry/internal/carrier/attempt.go
@@ -69,7 +69,7 @@
 	return &placer.Ticket{
 		Host:         j.place.Target,
 		WarmAt:       j.place.WarmAt,
-		First:        j.place.FirstRun,
+		FirstRun:     j.place.FirstRun,
 		Key:          j.object,
 		Rank:         j.organisation.GetPriority(),
 		Priority:     j.route.GetPriority(),
