--- a/core/placer/assigner_test.go
+++ b/core/placer/assigner_test.go
@@ -251,7 +251,7 @@
 	}
 	decision, decided := p.Offer(start, k)
 	if !decided {
-		placed := p.Done(start.Add(150*time.Millisecond), busy.Target, Outcome{Took: 150 * time.Millisecond})
+		placed := p.Done(start.Add(150*time.Millisecond), busy.Target, Outcome{ResponseTime: 150 * time.Millisecond})
 		is.Equal(len(placed), 1)
 		decision = placed[0].Decision
 	}
--- a/core/placer/placer.go
+++ b/core/placer/placer.go
@@ -76,9 +76,9 @@
 
 // Outcome is how a request at a target ended.
 type Outcome struct {
-	// Took is the time to the answer, zero if there was none; Usual is what was expected.
-	Took  time.Duration
-	Usual time.Duration
+	// ResponseTime is the time to the answer, zero if there was none; Usual is what was expected.
+	ResponseTime time.Duration
+	Usual        time.Duration
 	// Failed: no answer of use. Unreachable: the target could not be spoken to.
 	Failed      bool
 	Unreachable bool
@@ -252,8 +252,8 @@
 	if o.Unreachable {
 		p.spread.disturb(now)
 	}
-	if o.Took > 0 {
-		p.work += (o.Took - p.work) / smoothing
+	if o.ResponseTime > 0 {
+		p.work += (o.ResponseTime - p.work) / smoothing
 	}
 	p.crowd.life = time.Duration(reportFade * float64(p.usual()))
 	return p.Tick(now)
--- a/core/placer/replay_test.go
+++ b/core/placer/replay_test.go
@@ -418,7 +418,7 @@
 			r.gauges[e.region].See(r.now, []gauger.Reading{{Target: gauger.Key(target.Name), PerSlot: held}}, true)
 			if ran {
 				// The time that an entry instance sees holds the wait at the target.
-				outcome.Took = r.now.Sub(sent) - 2*way
+				outcome.ResponseTime = r.now.Sub(sent) - 2*way
 			}
 			for _, placed := range e.placer.Done(r.now, target, outcome) {
 				placed.Ticket.Decided <- placed.Decision
--- a/entry/internal/carrier/attempt.go
+++ b/entry/internal/carrier/attempt.go
@@ -156,13 +156,13 @@
 		c.observe(t, outcome.Load)
 	}
 	if end == answered {
-		outcome.Took = time.Since(start)
+		outcome.ResponseTime = time.Since(start)
 		if t.Region != c.Region {
-			outcome.Took = max(0, outcome.Took-far)
+			outcome.ResponseTime = max(0, outcome.ResponseTime-far)
 		}
-		outcome.Usual = c.routes.usual(j.route, outcome.Took)
+		outcome.Usual = c.routes.usual(j.route, outcome.ResponseTime)
 		outcome.Failed = answer.Status >= http.StatusInternalServerError
-		c.routes.worked(j.route, outcome.Took)
+		c.routes.worked(j.route, outcome.ResponseTime)
 		c.clear(start, j)
 	}
 	if err != nil {
