--- a/core/placer/overflow_test.go
+++ b/core/placer/overflow_test.go
@@ -39,7 +39,7 @@
 		}
 		target.start(p.now)
 		load := &messenger.Load{Running: running + 1, Slots: 9}
-		target.end(p.now, Outcome{ResponseTime: coldRun, Usual: coldRun, Load: load})
+		target.end(p.now, Outcome{ResponseTime: coldRun, ExpectedTime: coldRun, Load: load})
 		for range loadParts {
 			p.spread.see(p.now, target, load)
 		}
--- a/core/placer/placer.go
+++ b/core/placer/placer.go
@@ -78,7 +78,7 @@
 type Outcome struct {
 	// ResponseTime is the time to the answer, zero if there was none; Usual is what was expected.
 	ResponseTime time.Duration
-	Usual        time.Duration
+	ExpectedTime time.Duration
 	// Failed: no answer of use. Unreachable: the target could not be spoken to.
 	Failed      bool
 	Unreachable bool
--- a/core/placer/placer_test.go
+++ b/core/placer/placer_test.go
@@ -78,7 +78,7 @@
 	for i := range 300 {
 		now := start.Add(time.Duration(i) * 10 * time.Millisecond)
 		if decision, decided := p.Offer(now, ticket(0)); decided && decision.Target != nil {
-			p.Done(now, decision.Target, Outcome{ResponseTime: time.Millisecond, Usual: time.Millisecond})
+			p.Done(now, decision.Target, Outcome{ResponseTime: time.Millisecond, ExpectedTime: time.Millisecond})
 			sent++
 		}
 	}
@@ -94,7 +94,7 @@
 	for range 5 {
 		next, decided := p.Offer(start, ticket(0))
 		is.True(decided && next.Target != nil && next.Target.Name != dead.Target.Name)
-		p.Done(start, next.Target, Outcome{ResponseTime: time.Millisecond, Usual: time.Millisecond})
+		p.Done(start, next.Target, Outcome{ResponseTime: time.Millisecond, ExpectedTime: time.Millisecond})
 	}
 }
 
@@ -109,7 +109,7 @@
 		decision, decided := p.Offer(start, ticket(0))
 		is.True(decided)
 		if decision.Target != nil {
-			p.Done(start, decision.Target, Outcome{ResponseTime: time.Second, Usual: 100 * time.Millisecond})
+			p.Done(start, decision.Target, Outcome{ResponseTime: time.Second, ExpectedTime: 100 * time.Millisecond})
 		}
 	}
 	is.True(!start.Before(p.spread.free))
--- a/core/placer/target.go
+++ b/core/placer/target.go
@@ -172,8 +172,8 @@
 	}
 	t.settleOpinion(now)
 	t.bad += newest * (failed - t.bad)
-	if o.ResponseTime > 0 && o.Usual > 0 {
-		pace := min(maxPace, max(minPace, float64(o.ResponseTime)/float64(o.Usual)))
+	if o.ResponseTime > 0 && o.ExpectedTime > 0 {
+		pace := min(maxPace, max(minPace, float64(o.ResponseTime)/float64(o.ExpectedTime)))
 		t.pace += newest * (pace - t.pace)
 	}
 	switch {
--- a/entry/internal/carrier/attempt.go
+++ b/entry/internal/carrier/attempt.go
@@ -160,7 +160,7 @@
 		if t.Region != c.Region {
 			outcome.ResponseTime = max(0, outcome.ResponseTime-far)
 		}
-		outcome.Usual = c.routes.usual(j.route, outcome.ResponseTime)
+		outcome.ExpectedTime = c.routes.usual(j.route, outcome.ResponseTime)
 		outcome.Failed = answer.Status >= http.StatusInternalServerError
 		c.routes.worked(j.route, outcome.ResponseTime)
 		c.clear(start, j)
