--- a/core/placer/assigner_test.go
+++ b/core/placer/assigner_test.go
@@ -30,7 +30,7 @@
 }
 
 func owner(region string, specs []Spec, position, of int) *Placer {
-	p := &Placer{Region: region, Zone: region, Far: 24 * time.Millisecond}
+	p := &Placer{Region: region, Zone: region, InterRegionRTT: 24 * time.Millisecond}
 	p.Update(start.Add(-time.Minute), specs, of)
 	p.SetOwnership(func(uint64) bool { return true }, position, of)
 	return p
--- a/core/placer/bench_test.go
+++ b/core/placer/bench_test.go
@@ -10,7 +10,7 @@
 
 // BenchmarkOffer places a request among as many targets as a large service has, and ends it.
 func BenchmarkOffer(b *testing.B) {
-	p := &Placer{Region: "r0", Zone: "r0", Far: 70 * time.Millisecond}
+	p := &Placer{Region: "r0", Zone: "r0", InterRegionRTT: 70 * time.Millisecond}
 	var specs []Spec
 	for i := range 384 {
 		region := fmt.Sprintf("r%d", i%3)
--- a/core/placer/choice.go
+++ b/core/placer/choice.go
@@ -159,7 +159,7 @@
 	wait := max(0, held+1-slots) / max(1, slots) * float64(p.usual())
 	cost := time.Duration((float64(work) + wait) * target.slowness(now))
 	if target.Region != p.Region {
-		cost += p.Far
+		cost += p.InterRegionRTT
 	}
 	if target.Zone != p.Zone {
 		cost += zoneCost
--- a/core/placer/placer.go
+++ b/core/placer/placer.go
@@ -91,8 +91,8 @@
 	// Region and Zone are this entry instance's own.
 	Region string
 	Zone   string
-	// Far is what it takes to reach another region and come back.
-	Far time.Duration
+	// InterRegionRTT is what it takes to reach another region and come back.
+	InterRegionRTT time.Duration
 
 	// firstAt is when the first targets became known, met the names of those known since.
 	firstAt time.Time
--- a/core/placer/placer_test.go
+++ b/core/placer/placer_test.go
@@ -12,7 +12,7 @@
 var start = time.Unix(1000, 0)
 
 func newPlacer(specs ...Spec) *Placer {
-	p := &Placer{Region: "r", Zone: "z", Far: 70 * time.Millisecond}
+	p := &Placer{Region: "r", Zone: "z", InterRegionRTT: 70 * time.Millisecond}
 	p.Update(start.Add(-time.Minute), specs, 1)
 	return p
 }
--- a/core/placer/replay_test.go
+++ b/core/placer/replay_test.go
@@ -173,7 +173,7 @@
 	for _, region := range slices.Sorted(maps.Keys(w.targets)) {
 		r.gauges[region] = &gauger.Gauge{}
 		for i := range w.entries {
-			p := &Placer{Region: region, Zone: region, Far: 2 * farOneWay}
+			p := &Placer{Region: region, Zone: region, InterRegionRTT: 2 * farOneWay}
 			r.entries = append(r.entries, &instance{fmt.Sprintf("%s-%d", region, i), region, p})
 		}
 	}
--- a/core/placer/spread_test.go
+++ b/core/placer/spread_test.go
@@ -38,7 +38,7 @@
 			first = append(first, s)
 		}
 	}
-	p := &Placer{Region: "few", Zone: "few", Far: 70 * time.Millisecond}
+	p := &Placer{Region: "few", Zone: "few", InterRegionRTT: 70 * time.Millisecond}
 	p.Update(start, first, 3)
 	p.Update(start.Add(time.Second), all, 3)
 	t.Run("before", func(t *testing.T) { assertShare(t, p, "few", 0.375) })
--- a/entry/internal/carrier/gate.go
+++ b/entry/internal/carrier/gate.go
@@ -116,7 +116,7 @@
 }
 
 func newGate(region, zone string) *gate {
-	return &gate{place: placer.Placer{Region: region, Zone: zone, Far: far}}
+	return &gate{place: placer.Placer{Region: region, Zone: zone, InterRegionRTT: far}}
 }
 
 // follow fits the gate to a view, and returns the targets that get no more requests while some are there.
