--- a/core/placer/placer.go
+++ b/core/placer/placer.go
@@ -207,8 +207,8 @@
 	return out
 }
 
-// Hear takes the loads of targets as all instances of the region saw them.
-func (p *Placer) Hear(now time.Time, loads []gauger.Reading) {
+// ObserveLoads takes the loads of targets as all instances of the region saw them.
+func (p *Placer) ObserveLoads(now time.Time, loads []gauger.Reading) {
 	for _, r := range loads {
 		if t, ok := p.byKey[r.Target]; ok {
 			t.told, t.toldAt = r.PerSlot, now
--- a/core/placer/replay_test.go
+++ b/core/placer/replay_test.go
@@ -343,7 +343,7 @@
 		r.told[region] = g.Counter()
 		for _, e := range r.near(region) {
 			if !r.world.deaf {
-				e.placer.Hear(r.now, news)
+				e.placer.ObserveLoads(r.now, news)
 			}
 		}
 	}
--- a/entry/internal/carrier/gate.go
+++ b/entry/internal/carrier/gate.go
@@ -98,7 +98,7 @@
 func (g *gate) hear(now time.Time, loads []gauger.Reading) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.place.Hear(now, loads)
+	g.place.ObserveLoads(now, loads)
 }
 
 // balance returns the objects that move.
