--- a/core/placer/assigner_test.go
+++ b/core/placer/assigner_test.go
@@ -22,7 +22,7 @@
 	for region, n := range map[string]int{"few": 2, "many": 6, "most": 6} {
 		for i := range n {
 			out = append(out, Spec{
-				Name: fmt.Sprintf("%s-%d", region, i), Incarnation: 1, Region: region, Zone: region, Slots: 9, Own: 1,
+				Name: fmt.Sprintf("%s-%d", region, i), Incarnation: 1, Region: region, Zone: region, Slots: 9, OwnSlots: 1,
 			})
 		}
 	}
@@ -169,7 +169,7 @@
 	specs := boards()
 	p := owner("most", specs, 0, 1)
 	place(start, p, "", 132)
-	joined := Spec{Name: "most-9", Incarnation: 1, Region: "most", Zone: "most", Slots: 9, Own: 1}
+	joined := Spec{Name: "most-9", Incarnation: 1, Region: "most", Zone: "most", Slots: 9, OwnSlots: 1}
 	now := start.Add(10 * time.Second)
 	p.Update(now, append(specs, joined), 1)
 	is.True(place(now, p, "", 132)[joined.Name] <= 1)
@@ -242,7 +242,7 @@
 // it would be cut off in the middle, with its caller in doubt about a booking; told to come back it has its time anew.
 func TestFirstRunThatWouldBeCutOffIsNotBegun(t *testing.T) {
 	is := is.New(t)
-	p := owner("most", []Spec{{Name: "a", Region: "most", Slots: 1, Own: 1}}, 0, 1)
+	p := owner("most", []Spec{{Name: "a", Region: "most", Slots: 1, OwnSlots: 1}}, 0, 1)
 	busy, _ := p.Offer(start, &Ticket{Host: "a", Deadline: start.Add(time.Minute)})
 	is.True(busy.Target != nil)
 	k := &Ticket{
--- a/core/placer/balancer_test.go
+++ b/core/placer/balancer_test.go
@@ -119,7 +119,7 @@
 	is := is.New(t)
 	var specs []Spec
 	for i := range 60 {
-		specs = append(specs, Spec{Name: fmt.Sprintf("t%02d", i), Incarnation: 1, Region: "r", Zone: "z", Slots: 3, Own: 1})
+		specs = append(specs, Spec{Name: fmt.Sprintf("t%02d", i), Incarnation: 1, Region: "r", Zone: "z", Slots: 3, OwnSlots: 1})
 	}
 	counts := map[string]int{}
 	for i := range 60 {
@@ -151,7 +151,7 @@
 	p.RecordAssignment(start, ObjectHash("a"), "most-1", "view", 9)
 	p.assigner.objects[ObjectHash("a")].ask = ask
 	now := start.Add(10 * time.Second)
-	p.Update(now, append(specs, Spec{Name: "most-9", Incarnation: 1, Region: "most", Slots: 9, Own: 1}), 1)
+	p.Update(now, append(specs, Spec{Name: "most-9", Incarnation: 1, Region: "most", Slots: 9, OwnSlots: 1}), 1)
 	is.Equal(len(p.Balance(now)), 0)
 	is.Equal(p.byName[p.Assign(now, ask).Target].Region, "few")
 }
--- a/core/placer/bench_test.go
+++ b/core/placer/bench_test.go
@@ -14,7 +14,7 @@
 	var specs []Spec
 	for i := range 384 {
 		region := fmt.Sprintf("r%d", i%3)
-		specs = append(specs, Spec{Name: fmt.Sprint(i), Region: region, Zone: region, Slots: 6, Own: 1})
+		specs = append(specs, Spec{Name: fmt.Sprint(i), Region: region, Zone: region, Slots: 6, OwnSlots: 1})
 	}
 	p.Update(start.Add(-time.Minute), specs, 76)
 	now := start
--- a/core/placer/choice.go
+++ b/core/placer/choice.go
@@ -153,7 +153,7 @@
 	if !t.onTime(now) {
 		queue = lateQueue
 	}
-	if held+1 > slots+queue && target.running >= target.Own {
+	if held+1 > slots+queue && target.running >= target.OwnSlots {
 		return 0, false
 	}
 	wait := max(0, held+1-slots) / max(1, slots) * float64(p.usual())
--- a/core/placer/overflow_test.go
+++ b/core/placer/overflow_test.go
@@ -22,7 +22,7 @@
 func newPeak() *peak {
 	specs := boards()
 	for i := range specs {
-		specs[i].Own = 0 // all slots are other instances'
+		specs[i].OwnSlots = 0 // all slots are other instances'
 	}
 	p := owner("most", specs, 0, 1)
 	w := &peak{p, start.Add(time.Minute)} // long after targets came
--- a/core/placer/placer_test.go
+++ b/core/placer/placer_test.go
@@ -18,7 +18,7 @@
 }
 
 func spec(name string) Spec {
-	return Spec{Name: name, Incarnation: 1, Region: "r", Zone: "z", Slots: 1, Own: 1}
+	return Spec{Name: name, Incarnation: 1, Region: "r", Zone: "z", Slots: 1, OwnSlots: 1}
 }
 
 func ticket(priority int32) *Ticket {
@@ -71,7 +71,7 @@
 func TestColdTargetKeepsItsRate(t *testing.T) {
 	is := is.New(t)
 	cold := spec("a")
-	cold.Slots, cold.Own = 100, 100
+	cold.Slots, cold.OwnSlots = 100, 100
 	cold.ColdUntil, cold.Rate = start.Add(time.Minute), 5
 	p := newPlacer(cold)
 	sent := 0
--- a/core/placer/target.go
+++ b/core/placer/target.go
@@ -39,8 +39,8 @@
 	Region      string
 	Zone        string
 	Slots       int32
-	// Own is how many of its slots belong to this entry instance.
-	Own int32
+	// OwnSlots is how many of its slots belong to this entry instance.
+	OwnSlots int32
 	// ColdUntil is the end of the target's cold time; Rate is how many requests a second this entry instance may
 	// send it until then.
 	ColdUntil time.Time
@@ -129,7 +129,7 @@
 		return true
 	}
 	// A cold target crashes when it gets much more than its rate.
-	return t.Own > 0 && float64(len(t.recentSends(now)))+1 <= t.Rate
+	return t.OwnSlots > 0 && float64(len(t.recentSends(now)))+1 <= t.Rate
 }
 
 func (t *Target) recentSends(now time.Time) []time.Time {
--- a/core/placer/withdrawn_test.go
+++ b/core/placer/withdrawn_test.go
@@ -20,7 +20,7 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			specs := []Spec{{Name: "a", Incarnation: 1, Region: "r", Slots: 1, Own: 1}}
+			specs := []Spec{{Name: "a", Incarnation: 1, Region: "r", Slots: 1, OwnSlots: 1}}
 			p := &Placer{Region: "r", Zone: "z"}
 			is.Equal(len(p.Update(start.Add(-time.Minute), specs, 1)), 0)
 			decision, decided := p.Offer(start, &Ticket{
--- a/entry/internal/carrier/carrier_test.go
+++ b/entry/internal/carrier/carrier_test.go
@@ -142,7 +142,7 @@
 	s := &targets{ends: ends}
 	var specs []placer.Spec
 	for _, name := range []string{"t1", "t2", "t3"} {
-		specs = append(specs, placer.Spec{Name: name, Region: "r", Zone: "z", Slots: 2, Own: 2})
+		specs = append(specs, placer.Spec{Name: name, Region: "r", Zone: "z", Slots: 2, OwnSlots: 2})
 	}
 	view := &watcher.View{
 		Table: planner.NewTable(plan()), Targets: map[string][]placer.Spec{"listings": specs}, Entries: 1,
--- a/entry/internal/carrier/organisation_test.go
+++ b/entry/internal/carrier/organisation_test.go
@@ -135,7 +135,7 @@
 	is.Equal(len(s.sent), 0)
 	view := *c.Views.View()
 	view.Targets = map[string][]placer.Spec{"listings": append(view.Targets["listings"], placer.Spec{
-		Name: "far", Region: "q", Zone: "y", Slots: 2, Own: 2,
+		Name: "far", Region: "q", Zone: "y", Slots: 2, OwnSlots: 2,
 	})}
 	c.Follow(&view)
 	is.Equal(askWith(c, "/once/1", key("bound")).Code, http.StatusOK)
--- a/entry/internal/watcher/view.go
+++ b/entry/internal/watcher/view.go
@@ -256,13 +256,13 @@
 	}
 	own := partitioner.Deal(w.Node.GetName(), partners, slots)
 	for i := range specs {
-		specs[i].Own = own[i]
+		specs[i].OwnSlots = own[i]
 		if !now.Before(specs[i].ColdUntil) {
 			continue
 		}
-		specs[i].Own = 0
+		specs[i].OwnSlots = 0
 		if partitioner.Holder(specs[i].Name, partners, specs[i].Region) == w.Node.GetName() {
-			specs[i].Own = specs[i].Slots
+			specs[i].OwnSlots = specs[i].Slots
 		}
 	}
 }
--- a/entry/internal/watcher/watcher_test.go
+++ b/entry/internal/watcher/watcher_test.go
@@ -213,7 +213,7 @@
 	spec := w.View().Targets["listings"][0]
 	is.True(time.Until(spec.ColdUntil) > 50*time.Second)
 	is.Equal(spec.Rate, 8.0)
-	is.Equal(spec.Own, int32(3))
+	is.Equal(spec.OwnSlots, int32(3))
 }
 
 // An instance has just started and knows no plan. Named in look-ups already, it would refuse every caller sent to it.
