--- a/core/partitioner/partitioner.go
+++ b/core/partitioner/partitioner.go
@@ -22,15 +22,15 @@
 	Region string
 }
 
-// Partners are the entry instances that share targets, sorted once for any number of them.
-type Partners struct {
+// Members are the entry instances that share targets, sorted once for any number of them.
+type Members struct {
 	all      []string
 	byRegion map[string][]string
 }
 
 // NewPartners lists the instances that take part.
-func NewPartners(instances []Instance) *Partners {
-	p := &Partners{byRegion: map[string][]string{}}
+func NewPartners(instances []Instance) *Members {
+	p := &Members{byRegion: map[string][]string{}}
 	for _, in := range instances {
 		p.all = append(p.all, in.Name)
 		p.byRegion[in.Region] = append(p.byRegion[in.Region], in.Name)
@@ -43,7 +43,7 @@
 }
 
 // near returns the sorted names of those who share a region's slots.
-func (p *Partners) near(region string) []string {
+func (p *Members) near(region string) []string {
 	if names := p.byRegion[region]; len(names) > 0 {
 		return names
 	}
@@ -59,7 +59,7 @@
 // Deal returns how many slots of each target belong to the instance, in the order of targets. The
 // slots of a region go to the instances there, or to all where the region has none. Where there are
 // fewer slots than instances, several share one.
-func Deal(self string, partners *Partners, targets []Target) []int32 {
+func Deal(self string, partners *Members, targets []Target) []int32 {
 	out := make([]int32, len(targets))
 	byRegion := map[string][]slot{}
 	for i, u := range targets {
@@ -74,7 +74,7 @@
 }
 
 // Holder returns the instance that alone sends to a target, of those in its region if there are any.
-func Holder(target string, partners *Partners, region string) string {
+func Holder(target string, partners *Members, region string) string {
 	return First(target, partners.near(region))
 }
 
--- a/entry/internal/watcher/view.go
+++ b/entry/internal/watcher/view.go
@@ -238,7 +238,7 @@
 }
 
 // partners lists the entry instances that share the targets.
-func (w *Watcher) partners() *partitioner.Partners {
+func (w *Watcher) partners() *partitioner.Members {
 	out := []partitioner.Instance{{Name: w.Node.GetName(), Region: w.Node.GetRegion()}}
 	for _, n := range w.state.nodes {
 		if n.GetName() != w.Node.GetName() && !n.GetLeaving() {
@@ -249,7 +249,7 @@
 }
 
 // deal gives each slot to one entry instance, and each cold target whole to one.
-func (w *Watcher) deal(now time.Time, specs []placer.Spec, partners *partitioner.Partners) {
+func (w *Watcher) deal(now time.Time, specs []placer.Spec, partners *partitioner.Members) {
 	slots := make([]partitioner.Target, 0, len(specs))
 	for _, s := range specs {
 		slots = append(slots, partitioner.Target{Name: s.Name, Region: s.Region, Slots: s.Slots})
