--- a/core/partitioner/partitioner.go
+++ b/core/partitioner/partitioner.go
@@ -28,8 +28,8 @@
 	byRegion map[string][]string
 }
 
-// NewPartners lists the instances that take part.
-func NewPartners(instances []Instance) *Members {
+// NewMembers lists the instances that take part.
+func NewMembers(instances []Instance) *Members {
 	p := &Members{byRegion: map[string][]string{}}
 	for _, in := range instances {
 		p.all = append(p.all, in.Name)
--- a/entry/internal/watcher/view.go
+++ b/entry/internal/watcher/view.go
@@ -245,7 +245,7 @@
 			out = append(out, partitioner.Instance{Name: n.GetName(), Region: n.GetRegion()})
 		}
 	}
-	return partitioner.NewPartners(out)
+	return partitioner.NewMembers(out)
 }
 
 // deal gives each slot to one entry instance, and each cold target whole to one.
