--- a/core/partitioner/partitioner.go
+++ b/core/partitioner/partitioner.go
@@ -56,10 +56,10 @@
 	hash   uint64
 }
 
-// Deal returns how many slots of each target belong to the instance, in the order of targets. The
+// Partition returns how many slots of each target belong to the instance, in the order of targets. The
 // slots of a region go to the instances there, or to all where the region has none. Where there are
 // fewer slots than instances, several share one.
-func Deal(self string, partners *Members, targets []Target) []int32 {
+func Partition(self string, partners *Members, targets []Target) []int32 {
 	out := make([]int32, len(targets))
 	byRegion := map[string][]slot{}
 	for i, u := range targets {
--- a/core/partitioner/partitioner_test.go
+++ b/core/partitioner/partitioner_test.go
@@ -23,7 +23,7 @@
 func totals(in []Instance, up []Target) []int32 {
 	out := make([]int32, len(up))
 	for _, i := range in {
-		for u, n := range Deal(i.Name, NewMembers(in), up) {
+		for u, n := range Partition(i.Name, NewMembers(in), up) {
 			out[u] += n
 		}
 	}
@@ -49,7 +49,7 @@
 	in, up := setup(12, 21, 3)
 	for _, i := range in {
 		own := int32(0)
-		for u, n := range Deal(i.Name, NewMembers(in), up) {
+		for u, n := range Partition(i.Name, NewMembers(in), up) {
 			own += n
 			is.True(n == 0 || up[u].Region == i.Region) // near ones only
 		}
@@ -62,7 +62,7 @@
 	in, up := setup(12, 3, 1)
 	for _, i := range in {
 		own := int32(0)
-		for _, n := range Deal(i.Name, NewMembers(in), up) {
+		for _, n := range Partition(i.Name, NewMembers(in), up) {
 			own += n
 		}
 		is.Equal(own, int32(1))
@@ -75,5 +75,5 @@
 	for _, n := range totals(in, up) {
 		is.Equal(n, int32(3))
 	}
-	is.Equal(Deal("stranger", NewMembers(in), up), make([]int32, 6))
+	is.Equal(Partition("stranger", NewMembers(in), up), make([]int32, 6))
 }
--- a/core/placer/replay_test.go
+++ b/core/placer/replay_test.go
@@ -196,7 +196,7 @@
 	}
 	for _, e := range r.entries {
 		specs := slices.Clone(r.specs)
-		for i, own := range partitioner.Deal(e.name, partitioner.NewMembers(instances), targets) {
+		for i, own := range partitioner.Partition(e.name, partitioner.NewMembers(instances), targets) {
 			specs[i].OwnSlots = own
 		}
 		e.placer.Update(at, specs, len(r.entries))
--- a/entry/internal/directory/view.go
+++ b/entry/internal/directory/view.go
@@ -85,7 +85,7 @@
 	for _, u := range members {
 		slots = append(slots, partitioner.Target{Name: u.Name, Region: u.Region, Slots: u.Slots})
 	}
-	for i, n := range partitioner.Deal(d.Instance, partitioner.NewMembers(partners), slots) {
+	for i, n := range partitioner.Partition(d.Instance, partitioner.NewMembers(partners), slots) {
 		members[i].SetOwn(n)
 	}
 }
--- a/entry/internal/watcher/view.go
+++ b/entry/internal/watcher/view.go
@@ -254,7 +254,7 @@
 	for _, s := range specs {
 		slots = append(slots, partitioner.Target{Name: s.Name, Region: s.Region, Slots: s.Slots})
 	}
-	own := partitioner.Deal(w.Node.GetName(), partners, slots)
+	own := partitioner.Partition(w.Node.GetName(), partners, slots)
 	for i := range specs {
 		specs[i].OwnSlots = own[i]
 		if !now.Before(specs[i].ColdUntil) {
--- a/standin/internal/experimenter/policies.go
+++ b/standin/internal/experimenter/policies.go
@@ -108,7 +108,7 @@
 		known = append(known, partitioner.Target{Name: strconv.Itoa(i), Region: "r", Slots: int32(w.Slots)})
 		tier.Targets = append(tier.Targets, u)
 	}
-	for i, n := range partitioner.Deal(in.name, partitioner.NewMembers(w.partners()), known) {
+	for i, n := range partitioner.Partition(in.name, partitioner.NewMembers(w.partners()), known) {
 		tier.Targets[i].SetOwn(n)
 	}
 	in.pool = &balancer.Pool{Tiers: []balancer.Tier{tier}}
