--- a/core/partitioner/partitioner.go
+++ b/core/partitioner/partitioner.go
@@ -73,8 +73,8 @@
 	return out
 }
 
-// Holder returns the instance that alone sends to a target, of those in its region if there are any.
-func Holder(target string, partners *Members, region string) string {
+// Owner returns the instance that alone sends to a target, of those in its region if there are any.
+func Owner(target string, partners *Members, region string) string {
 	return First(target, partners.near(region))
 }
 
--- a/entry/internal/watcher/view.go
+++ b/entry/internal/watcher/view.go
@@ -261,7 +261,7 @@
 			continue
 		}
 		specs[i].OwnSlots = 0
-		if partitioner.Holder(specs[i].Name, partners, specs[i].Region) == w.Node.GetName() {
+		if partitioner.Owner(specs[i].Name, partners, specs[i].Region) == w.Node.GetName() {
 			specs[i].OwnSlots = specs[i].Slots
 		}
 	}
