--- a/core/chooser/chooser.go
+++ b/core/chooser/chooser.go
@@ -60,14 +60,14 @@
 // Len returns how many instances there are.
 func (l *List) Len() int { return l.count }
 
-// Answers is how many instances an answer names at most.
-const Answers = 3
+// MaxAnswers is how many instances an answer names at most.
+const MaxAnswers = 3
 
 // Choose fills out with up to Answers instances for a client: the nearest region by weighted rendezvous,
 // so that a client keeps its instance while the set changes elsewhere; then two alternatives, the first in
 // another availability zone if the region has one. It returns how many it filled, and does not allocate.
 // Only the nearest group is looked at, unless it has too few.
-func (l *List) Choose(client netip.Addr, region string, out *[Answers]*Instance) int {
+func (l *List) Choose(client netip.Addr, region string, out *[MaxAnswers]*Instance) int {
 	groups, ok := l.regions[region]
 	if !ok {
 		groups = l.regions[""]
@@ -75,7 +75,7 @@
 	seed := seedOf(client)
 	count := 0
 	for _, instances := range groups {
-		if count == Answers {
+		if count == MaxAnswers {
 			break
 		}
 		var r race
@@ -89,7 +89,7 @@
 
 // race keeps the best instances of a group in one pass.
 type race struct {
-	top [Answers]contender
+	top [MaxAnswers]contender
 	// other is the best in another availability zone than the winner's.
 	other contender
 }
@@ -124,10 +124,10 @@
 }
 
 // award names the winner, then the best of another zone, then the rest by score.
-func (r *race) award(out *[Answers]*Instance, count int) int {
-	order := [Answers + 1]*Instance{r.top[0].instance, r.other.instance, r.top[1].instance, r.top[2].instance}
+func (r *race) award(out *[MaxAnswers]*Instance, count int) int {
+	order := [MaxAnswers + 1]*Instance{r.top[0].instance, r.other.instance, r.top[1].instance, r.top[2].instance}
 	for _, in := range order {
-		if in == nil || count == Answers || slices.Contains(out[:count], in) {
+		if in == nil || count == MaxAnswers || slices.Contains(out[:count], in) {
 			continue
 		}
 		out[count] = in
--- a/core/chooser/chooser_test.go
+++ b/core/chooser/chooser_test.go
@@ -37,7 +37,7 @@
 func slow(all []Instance, c netip.Addr, region string) []string {
 	var out []string
 	var zone string
-	for place := range Answers {
+	for place := range MaxAnswers {
 		best, bestRank, bestScore := -1, 0, 0.0
 		for i := range all {
 			in := all[i]
@@ -65,7 +65,7 @@
 }
 
 func names(l *List, c netip.Addr, region string) []string {
-	var chosen [Answers]*Instance
+	var chosen [MaxAnswers]*Instance
 	var out []string
 	for _, in := range chosen[:l.Choose(c, region, &chosen)] {
 		out = append(out, in.Name)
@@ -116,7 +116,7 @@
 
 func TestChooseDoesNotAllocate(t *testing.T) {
 	l := New(instances(12), regions, distance)
-	var chosen [Answers]*Instance
+	var chosen [MaxAnswers]*Instance
 	c := client(7)
 	is.New(t).Equal(testing.AllocsPerRun(1000, func() { l.Choose(c, "r1", &chosen) }), 0.0)
 }
--- a/entry/internal/finder/finder.go
+++ b/entry/internal/finder/finder.go
@@ -72,7 +72,7 @@
 	if region == "" {
 		region = h.Region
 	}
-	var chosen [chooser.Answers]*chooser.Instance
+	var chosen [chooser.MaxAnswers]*chooser.Instance
 	count := view.Instances.Choose(client, region, &chosen)
 	if count == 0 {
 		h.refuse(w, now, http.StatusServiceUnavailable, "no entry instance", h.Views.RetryAt(now))
--- a/entry/internal/finder/finder_test.go
+++ b/entry/internal/finder/finder_test.go
@@ -92,7 +92,7 @@
 			is.NoErr(json.Unmarshal(w.Body.Bytes(), &answer))
 			is.Equal(answer.Region, region)
 			is.Equal(answer.Entries[0].Region, region)
-			is.Equal(len(answer.Entries), chooser.Answers)
+			is.Equal(len(answer.Entries), chooser.MaxAnswers)
 			is.True(answer.Deadline.After(time.Now()))
 		})
 	}
--- a/standin/internal/sloper/measures.go
+++ b/standin/internal/sloper/measures.go
@@ -97,7 +97,7 @@
 		}
 		l := chooser.New(instances, []string{"r0", "r1"}, strings.Compare)
 		client := netip.MustParseAddr("10.1.2.3")
-		var chosen [chooser.Answers]*chooser.Instance
+		var chosen [chooser.MaxAnswers]*chooser.Instance
 		out.add(n, float64(timeOf(rounds, 20_000, func() { l.Choose(client, "r0", &chosen) })))
 	}
 	return []*Series{out}
