--- a/core/placer/placer.go
+++ b/core/placer/placer.go
@@ -38,9 +38,9 @@
 type Ticket struct {
 	// Key names the object concerned, or is empty.
 	Key string
-	// Rank is the caller's own priority, which goes before that of what it asks for; 0 is the most urgent of both.
-	Rank     int32
-	Priority int32
+	// CallerPriority is the caller's own priority, which goes before that of what it asks for; 0 is the most urgent of both.
+	CallerPriority int32
+	Priority       int32
 	// SoftDeadline is until when an answer is on time, Deadline until when it is of use at all.
 	SoftDeadline time.Time
 	Deadline     time.Time
--- a/core/placer/queue.go
+++ b/core/placer/queue.go
@@ -57,8 +57,8 @@
 	if x, y := a.onTime(now), b.onTime(now); x != y {
 		return x
 	}
-	if a.Rank != b.Rank {
-		return a.Rank < b.Rank
+	if a.CallerPriority != b.CallerPriority {
+		return a.CallerPriority < b.CallerPriority
 	}
 	if a.Priority != b.Priority {
 		return a.Priority < b.Priority
--- a/entry/internal/carrier/attempt.go
+++ b/entry/internal/carrier/attempt.go
@@ -67,19 +67,19 @@
 	warm, cold := c.routes.expected(j.route)
 	j.place = c.locate(j, g, cold)
 	return &placer.Ticket{
-		Host:         j.place.Target,
-		WarmAt:       j.place.WarmAt,
-		FirstRun:     j.place.FirstRun,
-		Key:          j.object,
-		Rank:         j.organisation.GetPriority(),
-		Priority:     j.route.GetPriority(),
-		SoftDeadline: j.started.Add(time.Duration(j.route.GetAim())),
-		Deadline:     j.deadline,
-		WarmTime:     warm,
-		ColdTime:     cold,
-		Tried:        tried,
-		Regions:      j.regions,
-		Decided:      make(chan placer.Decision, 1),
+		Host:           j.place.Target,
+		WarmAt:         j.place.WarmAt,
+		FirstRun:       j.place.FirstRun,
+		Key:            j.object,
+		CallerPriority: j.organisation.GetPriority(),
+		Priority:       j.route.GetPriority(),
+		SoftDeadline:   j.started.Add(time.Duration(j.route.GetAim())),
+		Deadline:       j.deadline,
+		WarmTime:       warm,
+		ColdTime:       cold,
+		Tried:          tried,
+		Regions:        j.regions,
+		Decided:        make(chan placer.Decision, 1),
 	}
 }
 
