--- a/core/granter/granter_test.go
+++ b/core/granter/granter_test.go
@@ -32,7 +32,7 @@
 	var out []*user
 	for _, name := range names {
 		u := &user{id: HolderID{name, 1}}
-		u.Watch(now, []string{resource})
+		u.SetResources(now, []string{resource})
 		out = append(out, u)
 	}
 	return out
@@ -117,7 +117,7 @@
 	later := ask.Add(old.grace() + time.Millisecond)
 	settle(t, later, old, users[1:], 100)
 	is.Equal(users[1].Limit(later, resource), int64(100))
-	successor := &Granter{Lease: testLease, Since: later}
+	successor := &Granter{Lease: testLease, ElectedAt: later}
 	successor.SetLimits(limits)
 	grants, err := successor.Renew(later, users[0].id, sequence, holdings)
 	is.NoErr(err)
--- a/core/quoter/quoter_test.go
+++ b/core/quoter/quoter_test.go
@@ -18,7 +18,7 @@
 )
 
 var (
-	testTerms = Terms{Window: 5 * time.Second, Overage: 0.1, Slack: 20}
+	testTerms = Tolerance{Window: 5 * time.Second, Overage: 0.1, Slack: 20}
 	begun     = time.Unix(1000, 0)
 )
 
@@ -191,8 +191,8 @@
 	rate := 100.0
 	plan := &wire.Plan{Organisations: []*wire.Organisation{{Name: "o", Rate: &rate}}}
 	lost, here := &wire.QuotaHolder{Name: "lost", Incarnation: 1}, &wire.QuotaHolder{Name: "here", Incarnation: 1}
-	a := &Allotter{Terms: testTerms, Term: 1, Since: begun, Lease: testLease, Distrust: time.Second}
-	a.Follow(plan, []*wire.QuotaHolder{lost, here}, nil)
+	a := &Allotter{Tolerance: testTerms, Term: 1, ElectedAt: begun, Lease: testLease, Holdoff: time.Second}
+	a.Update(plan, []*wire.QuotaHolder{lost, here}, nil)
 	ask := func(sequence uint64) int64 {
 		response, err := a.Allot(begun, &wire.AllotRequest{
 			Holder: here, Sequence: sequence, Whole: true, Parts: []*wire.Part{{Organisation: "o", Wanted: 1}},
@@ -201,16 +201,16 @@
 		return response.GetAllotments()[0].GetHeld()
 	}
 	is.Equal(ask(1), int64(0))
-	is.Equal(a.Stretching(), []string{"o"})
+	is.Equal(a.ToStretch(), []string{"o"})
 	change := &wire.StretchChange{Organisations: []string{"o"}, On: true}
-	a.Follow(plan, []*wire.QuotaHolder{lost, here}, []string{"o"})
-	a.Stretched(change, []string{"o"})
-	a.Stretched(change, nil)
+	a.Update(plan, []*wire.QuotaHolder{lost, here}, []string{"o"})
+	a.ApplyStretch(change, []string{"o"})
+	a.ApplyStretch(change, nil)
 	is.Equal(ask(2), int64(1))
 	// Another leader does not know how much of the rest was given out.
-	other := &Allotter{Terms: testTerms, Term: 2, Since: begun, Lease: testLease, Distrust: time.Second}
-	other.Follow(plan, []*wire.QuotaHolder{lost, here}, []string{"o"})
-	other.Stretched(change, nil)
+	other := &Allotter{Tolerance: testTerms, Term: 2, ElectedAt: begun, Lease: testLease, Holdoff: time.Second}
+	other.Update(plan, []*wire.QuotaHolder{lost, here}, []string{"o"})
+	other.ApplyStretch(change, nil)
 	a = other
 	is.Equal(ask(3), int64(0))
 }
@@ -223,8 +223,8 @@
 	plan := &wire.Plan{Organisations: []*wire.Organisation{{Name: "o", Rate: &rate}}}
 	limit, _ := testTerms.limit(plan.GetOrganisations()[0])
 	who := []*wire.QuotaHolder{{Name: "e", Incarnation: 1}}
-	a := &Allotter{Terms: testTerms, Term: 1, Since: begun, Lease: testLease, Distrust: time.Second}
-	a.Follow(plan, who, []string{"o"})
+	a := &Allotter{Tolerance: testTerms, Term: 1, ElectedAt: begun, Lease: testLease, Holdoff: time.Second}
+	a.Update(plan, who, []string{"o"})
 	ask := func(sequence uint64, wanted int64) int64 {
 		response, err := a.Allot(begun, &wire.AllotRequest{
 			Holder: who[0], Sequence: sequence, Whole: true, Parts: []*wire.Part{{Organisation: "o", Wanted: wanted}},
@@ -234,8 +234,8 @@
 	}
 	is.Equal(ask(1, limit), limit)
 	is.Equal(ask(2, 1), int64(1))
-	is.Equal(a.Relaxing(), []string{"o"})
-	a.Stretched(&wire.StretchChange{Organisations: []string{"o"}, On: true}, nil)
+	is.Equal(a.ToRelax(), []string{"o"})
+	a.ApplyStretch(&wire.StretchChange{Organisations: []string{"o"}, On: true}, nil)
 	is.True(ask(3, limit) < limit)
 }
 
@@ -296,9 +296,9 @@
 	organisation := &wire.Organisation{Name: "o", Rate: &rate}
 	plan := &wire.Plan{Organisations: []*wire.Organisation{organisation}}
 	limit, _ := testTerms.limit(organisation)
-	a := &Allotter{Terms: testTerms, Term: 1, Since: begun, Lease: testLease, Distrust: time.Second}
+	a := &Allotter{Tolerance: testTerms, Term: 1, ElectedAt: begun, Lease: testLease, Holdoff: time.Second}
 	first, second := &wire.QuotaHolder{Name: "e", Incarnation: 1}, &wire.QuotaHolder{Name: "e", Incarnation: 2}
-	a.Follow(plan, []*wire.QuotaHolder{first}, []string{"o"})
+	a.Update(plan, []*wire.QuotaHolder{first}, []string{"o"})
 	ask := func(now time.Time, who *wire.QuotaHolder, sequence uint64, wanted int64) int64 {
 		response, err := a.Allot(now, &wire.AllotRequest{
 			Holder: who, Sequence: sequence, Whole: true, Parts: []*wire.Part{{Organisation: "o", Wanted: wanted}},
@@ -307,12 +307,12 @@
 		return response.GetAllotments()[0].GetHeld()
 	}
 	is.Equal(ask(begun, first, 1, limit), limit)
-	a.Follow(plan, []*wire.QuotaHolder{first, second}, []string{"o"})
+	a.Update(plan, []*wire.QuotaHolder{first, second}, []string{"o"})
 	now := begun.Add(time.Second)
 	is.Equal(ask(now, second, 1, limit), int64(0))
 	is.Equal(ask(now.Add(testTerms.Window-time.Second), second, 2, limit), int64(0))
 	is.Equal(ask(now.Add(testTerms.Window+time.Second), second, 3, limit), limit)
-	gone := a.Gone(now.Add(testTerms.Window + 2*time.Second))
+	gone := a.Expired(now.Add(testTerms.Window + 2*time.Second))
 	is.Equal(len(gone), 1)
 	is.Equal(gone[0].GetIncarnation(), uint64(1))
 }
@@ -320,9 +320,9 @@
 // Guards against a suspended leader that wakes after another one has taken over, and gives out parts for a moment.
 func TestAProcessThatStoodStillAllotsNothing(t *testing.T) {
 	is := is.New(t)
-	a := &Allotter{Terms: testTerms, Term: 1, Since: begun, Lease: testLease, Distrust: time.Second}
+	a := &Allotter{Tolerance: testTerms, Term: 1, ElectedAt: begun, Lease: testLease, Holdoff: time.Second}
 	who := &wire.QuotaHolder{Name: "e", Incarnation: 1}
-	a.Follow(&wire.Plan{}, []*wire.QuotaHolder{who}, nil)
+	a.Update(&wire.Plan{}, []*wire.QuotaHolder{who}, nil)
 	a.compare(begun, time.Millisecond, 3*time.Second)
 	_, err := a.Allot(begun, &wire.AllotRequest{Holder: who, Sequence: 1, Whole: true})
 	var suspended *SuspendedError
@@ -337,7 +337,7 @@
 	rate := 1.0
 	plan := &wire.Plan{Organisations: []*wire.Organisation{{Name: "o", Rate: &rate}}}
 	h := Holder{Self: &wire.QuotaHolder{Name: "e"}}
-	h.Follow(begun, plan)
+	h.Update(begun, plan)
 	r := h.Request(begun)
 	h.Answer(begun, begun, &wire.AllotResponse{
 		Term: 1, Lease: int64(testLease), Window: int64(5 * time.Second),
@@ -357,7 +357,7 @@
 	is := is.New(t)
 	rate := 10.0
 	h := Holder{Self: &wire.QuotaHolder{Name: "e"}}
-	h.Follow(begun, &wire.Plan{Organisations: []*wire.Organisation{{Name: "o", Rate: &rate}}})
+	h.Update(begun, &wire.Plan{Organisations: []*wire.Organisation{{Name: "o", Rate: &rate}}})
 	answer := &wire.AllotResponse{
 		Term: 1, Lease: int64(testLease), Window: int64(5 * time.Second), Allotments: []*wire.Allotment{{Organisation: "o"}},
 	}
@@ -376,7 +376,7 @@
 func BenchmarkTake(b *testing.B) {
 	rate := 1e9
 	h := Holder{Self: &wire.QuotaHolder{Name: "e"}}
-	h.Follow(begun, &wire.Plan{Organisations: []*wire.Organisation{{Name: "o", Rate: &rate}}})
+	h.Update(begun, &wire.Plan{Organisations: []*wire.Organisation{{Name: "o", Rate: &rate}}})
 	h.Request(begun)
 	h.Answer(begun, begun, &wire.AllotResponse{
 		Term: 1, Lease: int64(time.Hour), Window: int64(5 * time.Second),
