--- a/controller/internal/exchanger/exchanger.go
+++ b/controller/internal/exchanger/exchanger.go
@@ -226,7 +226,7 @@
 func (x *Exchanger) exchange(ctx context.Context, client wireconnect.ExchangeClient, name string) error {
 	sent := time.Now()
 	x.mu.Lock()
-	request := x.gossip.Outgoing(sent, name)
+	request := x.gossip.BuildRequest(sent, name)
 	x.mu.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
--- a/core/gossiper/exchange.go
+++ b/core/gossiper/exchange.go
@@ -16,8 +16,8 @@
 	return p
 }
 
-// Outgoing returns what to tell another controller now.
-func (g *Gossiper) Outgoing(now time.Time, name string) *wire.ExchangeRequest {
+// BuildRequest returns what to tell another controller now.
+func (g *Gossiper) BuildRequest(now time.Time, name string) *wire.ExchangeRequest {
 	g.init()
 	p := g.peer(name)
 	whole := p.differs && now.Sub(p.differAt) > repairAfter
--- a/core/gossiper/gossiper_test.go
+++ b/core/gossiper/gossiper_test.go
@@ -35,7 +35,7 @@
 			if from == to || r.cut[from.Self] || r.cut[to.Self] {
 				continue
 			}
-			m := from.Outgoing(r.now, to.Self)
+			m := from.BuildRequest(r.now, to.Self)
 			sent += len(m.GetRecords())
 			from.Acked(r.now, to.Self, to.Incoming(r.now, m))
 		}
--- a/core/gossiper/hosts_test.go
+++ b/core/gossiper/hosts_test.go
@@ -15,7 +15,7 @@
 
 // swap lets one controller tell another what it has.
 func swap(now time.Time, from, to *Gossiper) int {
-	request := from.Outgoing(now, to.Self)
+	request := from.BuildRequest(now, to.Self)
 	from.Acked(now, to.Self, to.Incoming(now, request))
 	return len(request.GetHosts())
 }
--- a/core/gossiper/trail_test.go
+++ b/core/gossiper/trail_test.go
@@ -49,7 +49,7 @@
 				r := record("t0", uint64(i+2), 1, ready)
 				g.Announce(now, r)
 				g.Since(now, g.Counter()-1)
-				sent := g.Outgoing(now, "c1")
+				sent := g.BuildRequest(now, "c1")
 				g.Acked(now, "c1", &wire.ExchangeResponse{Run: 1, Counter: sent.GetCounter(), Answerer: 2})
 			}
 		})
