--- a/controller/internal/exchanger/exchanger.go
+++ b/controller/internal/exchanger/exchanger.go
@@ -248,7 +248,7 @@
 	_ context.Context, r *connect.Request[wire.ExchangeRequest],
 ) (*connect.Response[wire.ExchangeResponse], error) {
 	var response *wire.ExchangeResponse
-	x.update(func(now time.Time) { response = x.gossip.Incoming(now, r.Msg) })
+	x.update(func(now time.Time) { response = x.gossip.HandleRequest(now, r.Msg) })
 	return connect.NewResponse(response), nil
 }
 
--- a/core/gossiper/exchange.go
+++ b/core/gossiper/exchange.go
@@ -45,8 +45,8 @@
 	return out
 }
 
-// Incoming takes what another controller tells.
-func (g *Gossiper) Incoming(now time.Time, r *wire.ExchangeRequest) *wire.ExchangeResponse {
+// HandleRequest takes what another controller tells.
+func (g *Gossiper) HandleRequest(now time.Time, r *wire.ExchangeRequest) *wire.ExchangeResponse {
 	g.init()
 	for _, record := range r.GetRecords() {
 		g.learn(now, record)
