--- a/controller/internal/exchanger/exchanger.go
+++ b/controller/internal/exchanger/exchanger.go
@@ -236,7 +236,7 @@
 	}
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.gossip.Acked(sent, name, response.Msg)
+	x.gossip.HandleResponse(sent, name, response.Msg)
 	if len(request.GetRecords()) > 0 {
 		x.wake()
 	}
--- a/core/gossiper/exchange.go
+++ b/core/gossiper/exchange.go
@@ -84,9 +84,9 @@
 	p.differs = differs
 }
 
-// Acked notes another controller's answer to an exchange that was sent at a time. A new run of it has forgotten
+// HandleResponse notes another controller's answer to an exchange that was sent at a time. A new run of it has forgotten
 // everything, so it is told everything again.
-func (g *Gossiper) Acked(sent time.Time, name string, r *wire.ExchangeResponse) {
+func (g *Gossiper) HandleResponse(sent time.Time, name string, r *wire.ExchangeResponse) {
 	p := g.peer(name)
 	if r.GetRun() != g.Run {
 		return
--- a/core/gossiper/gossiper_test.go
+++ b/core/gossiper/gossiper_test.go
@@ -37,7 +37,7 @@
 			}
 			m := from.BuildRequest(r.now, to.Self)
 			sent += len(m.GetRecords())
-			from.Acked(r.now, to.Self, to.HandleRequest(r.now, m))
+			from.HandleResponse(r.now, to.Self, to.HandleRequest(r.now, m))
 		}
 	}
 	return sent
--- a/core/gossiper/hosts_test.go
+++ b/core/gossiper/hosts_test.go
@@ -16,7 +16,7 @@
 // swap lets one controller tell another what it has.
 func swap(now time.Time, from, to *Gossiper) int {
 	request := from.BuildRequest(now, to.Self)
-	from.Acked(now, to.Self, to.HandleRequest(now, request))
+	from.HandleResponse(now, to.Self, to.HandleRequest(now, request))
 	return len(request.GetHosts())
 }
 
--- a/core/gossiper/trail_test.go
+++ b/core/gossiper/trail_test.go
@@ -50,7 +50,7 @@
 				g.Announce(now, r)
 				g.Since(now, g.Counter()-1)
 				sent := g.BuildRequest(now, "c1")
-				g.Acked(now, "c1", &wire.ExchangeResponse{Run: 1, Counter: sent.GetCounter(), Answerer: 2})
+				g.HandleResponse(now, "c1", &wire.ExchangeResponse{Run: 1, Counter: sent.GetCounter(), Answerer: 2})
 			}
 		})
 	}
