--- a/controller/internal/exchanger/announcements.go
+++ b/controller/internal/exchanger/announcements.go
@@ -71,7 +71,7 @@
 	for {
 		voters := x.Mind.Routing().Voters()
 		x.mu.Lock()
-		bound := most(voters, func(name string) bool { return x.gossip.Holds(name, counter) })
+		bound := most(voters, func(name string) bool { return x.gossip.HasAcknowledged(name, counter) })
 		news := x.news
 		x.mu.Unlock()
 		if bound {
--- a/core/gossiper/exchange.go
+++ b/core/gossiper/exchange.go
@@ -104,8 +104,8 @@
 	p.ackedAt = sent
 }
 
-// Holds reports whether a controller has acknowledged everything up to a counter.
-func (g *Gossiper) Holds(name string, counter uint64) bool {
+// HasAcknowledged reports whether a controller has acknowledged everything up to a counter.
+func (g *Gossiper) HasAcknowledged(name string, counter uint64) bool {
 	return name == g.Self || g.peers[name] != nil && g.peers[name].acked >= counter
 }
 
--- a/core/gossiper/gossiper_test.go
+++ b/core/gossiper/gossiper_test.go
@@ -71,8 +71,8 @@
 	r.cut["c3"], r.cut["c4"] = true, true
 	counter := r.nodes[0].Announce(r.now, record("t1", 1, 2, leaving))
 	r.pass(Period)
-	is.True(r.nodes[0].Holds("c1", counter) && r.nodes[0].Holds("c2", counter))
-	is.True(!r.nodes[0].Holds("c3", counter))
+	is.True(r.nodes[0].HasAcknowledged("c1", counter) && r.nodes[0].HasAcknowledged("c2", counter))
+	is.True(!r.nodes[0].HasAcknowledged("c3", counter))
 	r.cut = map[string]bool{"c0": true}
 	for range 4 {
 		r.pass(Period)
