--- a/controller/internal/exchanger/watch.go
+++ b/controller/internal/exchanger/watch.go
@@ -82,7 +82,7 @@
 func (x *Exchanger) nameControllers(now time.Time, region string, out *wire.WatchResponse) {
 	for _, m := range x.Mind.Routing().Members {
 		out.Controllers = append(out.Controllers, m.GetAddress())
-		if x.gossip.Near(now, m.GetName(), region) {
+		if x.gossip.ReachableIn(now, m.GetName(), region) {
 			out.Near = append(out.Near, m.GetAddress())
 		}
 	}
--- a/core/gossiper/exchange.go
+++ b/core/gossiper/exchange.go
@@ -109,8 +109,8 @@
 	return name == g.Self || g.peers[name] != nil && g.peers[name].acked >= counter
 }
 
-// Near reports whether a controller is in a region and answered an exchange lately.
-func (g *Gossiper) Near(now time.Time, name, region string) bool {
+// ReachableIn reports whether a controller is in a region and answered an exchange lately.
+func (g *Gossiper) ReachableIn(now time.Time, name, region string) bool {
 	if name == g.Self {
 		return region == g.Region
 	}
