--- a/controller/internal/exchanger/exchanger.go
+++ b/controller/internal/exchanger/exchanger.go
@@ -257,7 +257,7 @@
 	voters := x.Mind.Routing().Voters()
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return most(voters, func(name string) bool { return x.gossip.Reached(now, name) })
+	return most(voters, func(name string) bool { return x.gossip.Reachable(now, name) })
 }
 
 func most(voters []string, holds func(name string) bool) bool {
--- a/core/gossiper/exchange.go
+++ b/core/gossiper/exchange.go
@@ -114,11 +114,11 @@
 	if name == g.Self {
 		return region == g.Region
 	}
-	return g.Reached(now, name) && g.peers[name].region == region
+	return g.Reachable(now, name) && g.peers[name].region == region
 }
 
-// Reached reports whether a controller answered an exchange lately.
-func (g *Gossiper) Reached(now time.Time, name string) bool {
+// Reachable reports whether a controller answered an exchange lately.
+func (g *Gossiper) Reachable(now time.Time, name string) bool {
 	return name == g.Self || g.peers[name] != nil && now.Sub(g.peers[name].ackedAt) < linkLife
 }
 
