--- a/controller/internal/exchanger/watch.go
+++ b/controller/internal/exchanger/watch.go
@@ -19,7 +19,7 @@
 ) (*connect.Response[wire.WatchResponse], error) {
 	x.update(func(now time.Time) {
 		x.gossip.See(now, r.Msg.GetNode())
-		x.gossip.Loads(now, r.Msg.GetLoads())
+		x.gossip.UpdateLoads(now, r.Msg.GetLoads())
 	})
 	if r.Msg.GetFirst() {
 		if nearer := x.nearer(r.Msg.GetNode().GetRegion()); nearer != nil {
--- a/core/gossiper/exchange.go
+++ b/core/gossiper/exchange.go
@@ -122,8 +122,8 @@
 	return name == g.Self || g.peers[name] != nil && now.Sub(g.peers[name].ackedAt) < linkLife
 }
 
-// Loads takes what entry instances were told by targets.
-func (g *Gossiper) Loads(now time.Time, loads *wire.Loads) {
+// UpdateLoads takes what entry instances were told by targets.
+func (g *Gossiper) UpdateLoads(now time.Time, loads *wire.Loads) {
 	g.gauge.See(now, gauger.Decode(loads), true)
 }
 
