--- a/controller/internal/exchanger/watch.go
+++ b/controller/internal/exchanger/watch.go
@@ -109,7 +109,7 @@
 ) (*connect.Response[wire.TellResponse], error) {
 	x.update(func(now time.Time) {
 		x.gossip.See(now, r.Msg.GetNode())
-		x.gossip.Report(now, r.Msg.GetLosses(), true)
+		x.gossip.ReportLosses(now, r.Msg.GetLosses(), true)
 		x.gossip.Settle(r.Msg.GetHosts())
 	})
 	return connect.NewResponse(&wire.TellResponse{}), nil
--- a/core/gossiper/exchange.go
+++ b/core/gossiper/exchange.go
@@ -54,7 +54,7 @@
 	for _, s := range r.GetSeen() {
 		g.counter = g.nodes.sight(s.GetNode(), now.Add(-time.Duration(s.GetAge())), false, g.counter)
 	}
-	g.Report(now, r.GetLosses(), false)
+	g.ReportLosses(now, r.GetLosses(), false)
 	g.settle(r.GetHosts(), false)
 	g.gauge.See(now, gauger.Decode(r.GetLoads()), false)
 	p := g.peer(r.GetFrom())
--- a/core/gossiper/gossiper.go
+++ b/core/gossiper/gossiper.go
@@ -160,8 +160,8 @@
 	m.digest = sum
 }
 
-// Report takes reports of requests that were in flight when a target died.
-func (g *Gossiper) Report(now time.Time, reports []*wire.Loss, home bool) {
+// ReportLosses takes reports of requests that were in flight when a target died.
+func (g *Gossiper) ReportLosses(now time.Time, reports []*wire.Loss, home bool) {
 	for _, r := range reports {
 		if slices.ContainsFunc(g.losses, func(l *loss) bool { return proto.Equal(l.report, r) }) {
 			continue
--- a/core/gossiper/gossiper_test.go
+++ b/core/gossiper/gossiper_test.go
@@ -201,7 +201,7 @@
 	g.Announce(r.now, record("t1", 1, 2, ready))
 	g.See(r.now.Add(time.Second), &wire.Node{Name: "e1"})
 	is.Equal(g.Counter(), at)
-	g.Report(r.now, []*wire.Loss{{Fingerprint: []byte("x"), Target: "t1"}}, true)
+	g.ReportLosses(r.now, []*wire.Loss{{Fingerprint: []byte("x"), Target: "t1"}}, true)
 	news = g.Since(r.now, at)
 	is.Equal(len(news.Records)+len(news.Seen), 0)
 	is.Equal(len(news.Losses), 1)
