--- a/core/gossiper/gossiper.go
+++ b/core/gossiper/gossiper.go
@@ -206,8 +206,8 @@
 	}
 }
 
-// News is what a watcher lacks.
-type News struct {
+// Changes is what a watcher lacks.
+type Changes struct {
 	Records []*wire.Record
 	// Seen are the entry instances that changed, those that are gone marked lost, or all if Whole is set.
 	Seen   []*wire.Seen
@@ -216,13 +216,13 @@
 }
 
 // Empty reports whether there is nothing new.
-func (n *News) Empty() bool {
+func (n *Changes) Empty() bool {
 	return len(n.Records)+len(n.Seen)+len(n.Losses) == 0
 }
 
 // Since returns what a watcher lacks that has seen everything up to a counter.
-func (g *Gossiper) Since(now time.Time, counter uint64) *News {
-	out := &News{Records: g.changed(now, counter, func(*mark) bool { return true })}
+func (g *Gossiper) Since(now time.Time, counter uint64) *Changes {
+	out := &Changes{Records: g.changed(now, counter, func(*mark) bool { return true })}
 	for _, l := range g.losses {
 		if l.counter > counter {
 			out.Losses = append(out.Losses, l.report)
