--- a/controller/internal/exchanger/watch.go
+++ b/controller/internal/exchanger/watch.go
@@ -60,7 +60,7 @@
 	if r.GetRun() != x.gossip.Run {
 		counter, hosted, loaded = 0, 0, 0
 	}
-	news := x.gossip.Since(now, counter)
+	news := x.gossip.ChangesSince(now, counter)
 	out := &wire.WatchResponse{
 		Run: x.gossip.Run, Counter: x.gossip.Counter(), Linked: linked, Revision: routing.Revision,
 		Records: news.Records, Seen: news.Seen, Whole: news.Whole, Losses: news.Losses,
--- a/core/gossiper/gossiper.go
+++ b/core/gossiper/gossiper.go
@@ -220,8 +220,8 @@
 	return len(n.Records)+len(n.Seen)+len(n.Losses) == 0
 }
 
-// Since returns what a watcher lacks that has seen everything up to a counter.
-func (g *Gossiper) Since(now time.Time, counter uint64) *Changes {
+// ChangesSince returns what a watcher lacks that has seen everything up to a counter.
+func (g *Gossiper) ChangesSince(now time.Time, counter uint64) *Changes {
 	out := &Changes{Records: g.changed(now, counter, func(*mark) bool { return true })}
 	for _, l := range g.losses {
 		if l.counter > counter {
--- a/core/gossiper/gossiper_test.go
+++ b/core/gossiper/gossiper_test.go
@@ -194,7 +194,7 @@
 	g := r.nodes[0]
 	g.Announce(r.now, record("t1", 1, 1, ready))
 	g.See(r.now, &wire.Node{Name: "e1"})
-	news := g.Since(r.now, 0)
+	news := g.ChangesSince(r.now, 0)
 	is.Equal(len(news.Records), 1)
 	is.Equal(len(news.Seen), 1)
 	at := g.Counter()
@@ -202,7 +202,7 @@
 	g.See(r.now.Add(time.Second), &wire.Node{Name: "e1"})
 	is.Equal(g.Counter(), at)
 	g.ReportLosses(r.now, []*wire.Loss{{Fingerprint: []byte("x"), Target: "t1"}}, true)
-	news = g.Since(r.now, at)
+	news = g.ChangesSince(r.now, at)
 	is.Equal(len(news.Records)+len(news.Seen), 0)
 	is.Equal(len(news.Losses), 1)
 }
--- a/core/gossiper/nodes_test.go
+++ b/core/gossiper/nodes_test.go
@@ -39,7 +39,7 @@
 		leaving.Leaving = true
 		r.nodes[0].See(r.now.Add(time.Millisecond), leaving)
 		r.pass(Period)
-		news := r.nodes[1].Since(r.now, at)
+		news := r.nodes[1].ChangesSince(r.now, at)
 		is.True(!news.Whole)
 		is.Equal(len(news.Seen), 1)
 		is.True(news.Seen[0].GetNode().GetLeaving())
@@ -57,7 +57,7 @@
 			}
 			r.pass(Period)
 		}
-		news := r.nodes[1].Since(r.now, at)
+		news := r.nodes[1].ChangesSince(r.now, at)
 		is.Equal(len(news.Seen), 1)
 		is.True(news.Seen[0].GetNode().GetLost())
 		is.Equal(news.Seen[0].GetNode().GetName(), node(7).GetName())
@@ -78,7 +78,7 @@
 	now = now.Add(2 * nodeLife)
 	g.See(now, node(0))
 	g.Tick(now)
-	news := g.Since(now, at)
+	news := g.ChangesSince(now, at)
 	is.True(news.Whole)
 	is.Equal(len(news.Seen), 1)
 }
