--- a/controller/internal/exchanger/hosts.go
+++ b/controller/internal/exchanger/hosts.go
@@ -48,7 +48,7 @@
 	}
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.gossip.Settle(list)
+	x.gossip.UpdateHosts(list)
 	_ = level.Info(x.Logger).Log("msg", "hosts of objects read", "hosts", len(list))
 }
 
--- a/controller/internal/exchanger/watch.go
+++ b/controller/internal/exchanger/watch.go
@@ -110,7 +110,7 @@
 	x.update(func(now time.Time) {
 		x.gossip.See(now, r.Msg.GetNode())
 		x.gossip.ReportLosses(now, r.Msg.GetLosses(), true)
-		x.gossip.Settle(r.Msg.GetHosts())
+		x.gossip.UpdateHosts(r.Msg.GetHosts())
 	})
 	return connect.NewResponse(&wire.TellResponse{}), nil
 }
--- a/core/gossiper/hosts.go
+++ b/core/gossiper/hosts.go
@@ -92,8 +92,8 @@
 	}
 }
 
-// Settle takes the hosts that an entry instance tells, or that were on the disk.
-func (g *Gossiper) Settle(list []*wire.Host) { g.settle(list, true) }
+// UpdateHosts takes the hosts that an entry instance tells, or that were on the disk.
+func (g *Gossiper) UpdateHosts(list []*wire.Host) { g.settle(list, true) }
 
 // settle takes hosts, but for those at targets that have left: an entry instance that is told such a host after a start
 // waits for the target to announce itself, and refuses the object's requests meanwhile.
--- a/core/gossiper/hosts_test.go
+++ b/core/gossiper/hosts_test.go
@@ -37,13 +37,13 @@
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	a, b := &Gossiper{Self: "a", Run: 1}, &Gossiper{Self: "b", Run: 2}
-	a.Settle([]*wire.Host{host(1, "t1"), host(2, "t1")})
+	a.UpdateHosts([]*wire.Host{host(1, "t1"), host(2, "t1")})
 	is.Equal(swap(now, a, b), 2)
 	assertHost(t, b, 1, "t1")
 	is.Equal(swap(now, a, b), 0)
 	moved := host(1, "t2")
 	moved.Version = 1
-	a.Settle([]*wire.Host{moved, host(2, "t1")})
+	a.UpdateHosts([]*wire.Host{moved, host(2, "t1")})
 	is.Equal(swap(now, a, b), 1) // only what changed
 	assertHost(t, b, 1, "t2")
 	is.Equal(len(b.Hosts("elsewhere", 0)), 0)
@@ -57,13 +57,13 @@
 	a, b := &Gossiper{Self: "a", Run: 1}, &Gossiper{Self: "b", Run: 2}
 	first, second, rival := host(1, "t3"), host(1, "t2"), host(1, "t1")
 	first.Version, second.Version, rival.Version = 1, 2, 2
-	a.Settle([]*wire.Host{first, second, rival})
-	b.Settle([]*wire.Host{rival, second, first})
+	a.UpdateHosts([]*wire.Host{first, second, rival})
+	b.UpdateHosts([]*wire.Host{rival, second, first})
 	for _, g := range []*Gossiper{a, b} {
 		assertHost(t, g, 1, "t1")
 	}
 	told := a.HostsChanged()
-	a.Settle([]*wire.Host{second})
+	a.UpdateHosts([]*wire.Host{second})
 	is.Equal(a.HostsChanged(), told)
 	is.Equal(len(a.Hosts("r", told)), 0)
 }
@@ -73,7 +73,7 @@
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	a, b := &Gossiper{Self: "a", Run: 1}, &Gossiper{Self: "b", Run: 2}
-	a.Settle([]*wire.Host{host(1, "t1")})
+	a.UpdateHosts([]*wire.Host{host(1, "t1")})
 	swap(now, a, b)
 	empty := &Gossiper{Self: "b", Run: 3}
 	swap(now, a, empty)
@@ -87,7 +87,7 @@
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	a, b := &Gossiper{Self: "a", Run: 1}, &Gossiper{Self: "b", Run: 2}
-	a.Settle([]*wire.Host{host(1, "t1"), host(2, "t2")})
+	a.UpdateHosts([]*wire.Host{host(1, "t1"), host(2, "t2")})
 	swap(now, a, b)
 	changed := a.HostsChanged()
 	a.Announce(now, record("t1", 1, 2, wire.TargetState_TARGET_LEAVING))
@@ -99,12 +99,12 @@
 	is.True(a.HostsChanged() > changed) // the file is written anew
 	t.Run("also if they are told late", func(t *testing.T) {
 		is := is.New(t)
-		a.Settle([]*wire.Host{host(3, "t1")})
+		a.UpdateHosts([]*wire.Host{host(3, "t1")})
 		is.Equal(len(a.Hosts("r", 0)), 1)
 	})
 	t.Run("but not those of its next run", func(t *testing.T) {
 		a.Announce(now, record("t1", 2, 1, ready))
-		a.Settle([]*wire.Host{host(3, "t1")})
+		a.UpdateHosts([]*wire.Host{host(3, "t1")})
 		assertHost(t, a, 3, "t1")
 	})
 }
@@ -114,7 +114,7 @@
 	is := is.New(t)
 	g := &Gossiper{Self: "a", Run: 1}
 	for i := range uint64(maxHosts + 10) {
-		g.Settle([]*wire.Host{host(i, "t1")})
+		g.UpdateHosts([]*wire.Host{host(i, "t1")})
 	}
 	list := g.Hosts("", 0)
 	is.Equal(len(list), maxHosts)
