--- a/controller/internal/exchanger/hosts.go
+++ b/controller/internal/exchanger/hosts.go
@@ -67,7 +67,7 @@
 		changed := x.gossip.HostsChanged()
 		var list []*wire.Host
 		if changed != saved {
-			list = x.gossip.Hosts("", 0)
+			list = x.gossip.HostsSince("", 0)
 		}
 		x.mu.Unlock()
 		if changed == saved {
--- a/core/gossiper/hosts.go
+++ b/core/gossiper/hosts.go
@@ -107,8 +107,8 @@
 	return ok && record.GetState() != wire.TargetState_TARGET_READY
 }
 
-// Hosts returns the hosts of a region that changed after a count, of all regions for an empty one.
-func (g *Gossiper) Hosts(region string, counter uint64) []*wire.Host {
+// HostsSince returns the hosts of a region that changed after a count, of all regions for an empty one.
+func (g *Gossiper) HostsSince(region string, counter uint64) []*wire.Host {
 	return g.hosts.since(counter, func(m *hostMark) bool { return region == "" || m.host.GetRegion() == region })
 }
 
--- a/core/gossiper/hosts_test.go
+++ b/core/gossiper/hosts_test.go
@@ -23,7 +23,7 @@
 func assertHost(t *testing.T, g *Gossiper, object uint64, target string) {
 	t.Helper()
 	is := is.New(t)
-	for _, h := range g.Hosts("r", 0) {
+	for _, h := range g.HostsSince("r", 0) {
 		if h.GetObject() == object {
 			is.Equal(h.GetTarget(), target)
 			return
@@ -46,7 +46,7 @@
 	a.UpdateHosts([]*wire.Host{moved, host(2, "t1")})
 	is.Equal(swap(now, a, b), 1) // only what changed
 	assertHost(t, b, 1, "t2")
-	is.Equal(len(b.Hosts("elsewhere", 0)), 0)
+	is.Equal(len(b.HostsSince("elsewhere", 0)), 0)
 	is.Equal(swap(now, b, a), 0) // what b was told by a controller it does not pass on
 }
 
@@ -65,7 +65,7 @@
 	told := a.HostsChanged()
 	a.UpdateHosts([]*wire.Host{second})
 	is.Equal(a.HostsChanged(), told)
-	is.Equal(len(a.Hosts("r", told)), 0)
+	is.Equal(len(a.HostsSince("r", told)), 0)
 }
 
 // A controller lost its disk. The others tell it everything again when they meet its new run.
@@ -78,7 +78,7 @@
 	empty := &Gossiper{Self: "b", Run: 3}
 	swap(now, a, empty)
 	swap(now, a, empty)
-	is.Equal(len(empty.Hosts("r", 0)), 1)
+	is.Equal(len(empty.HostsSince("r", 0)), 1)
 }
 
 // A target leaves, and an entry instance that is started later asks where the objects are. Told that they are at the target
@@ -93,14 +93,14 @@
 	a.Announce(now, record("t1", 1, 2, wire.TargetState_TARGET_LEAVING))
 	swap(now, a, b)
 	for _, g := range []*Gossiper{a, b} {
-		is.Equal(len(g.Hosts("r", 0)), 1)
+		is.Equal(len(g.HostsSince("r", 0)), 1)
 		assertHost(t, g, 2, "t2")
 	}
 	is.True(a.HostsChanged() > changed) // the file is written anew
 	t.Run("also if they are told late", func(t *testing.T) {
 		is := is.New(t)
 		a.UpdateHosts([]*wire.Host{host(3, "t1")})
-		is.Equal(len(a.Hosts("r", 0)), 1)
+		is.Equal(len(a.HostsSince("r", 0)), 1)
 	})
 	t.Run("but not those of its next run", func(t *testing.T) {
 		a.Announce(now, record("t1", 2, 1, ready))
@@ -116,7 +116,7 @@
 	for i := range uint64(maxHosts + 10) {
 		g.UpdateHosts([]*wire.Host{host(i, "t1")})
 	}
-	list := g.Hosts("", 0)
+	list := g.HostsSince("", 0)
 	is.Equal(len(list), maxHosts)
 	is.Equal(list[0].GetObject(), uint64(10))
 }
