--- a/controller/internal/exchanger/hosts.go
+++ b/controller/internal/exchanger/hosts.go
@@ -18,14 +18,14 @@
 
 // noticeHosts has the watchers told in a while that hosts changed. The caller holds the lock.
 func (x *Exchanger) noticeHosts() {
-	if x.hostsSoon || x.gossip.HostsChanged() == x.hostsTold {
+	if x.hostsSoon || x.gossip.HostsCounter() == x.hostsTold {
 		return
 	}
 	x.hostsSoon = true
 	time.AfterFunc(gatherHosts, func() {
 		x.mu.Lock()
 		defer x.mu.Unlock()
-		x.hostsSoon, x.hostsTold = false, x.gossip.HostsChanged()
+		x.hostsSoon, x.hostsTold = false, x.gossip.HostsCounter()
 		x.wake()
 	})
 }
@@ -64,7 +64,7 @@
 		case <-ticker.C:
 		}
 		x.mu.Lock()
-		changed := x.gossip.HostsChanged()
+		changed := x.gossip.HostsCounter()
 		var list []*wire.Host
 		if changed != saved {
 			list = x.gossip.HostsSince("", 0)
--- a/controller/internal/exchanger/watch.go
+++ b/controller/internal/exchanger/watch.go
@@ -65,7 +65,7 @@
 		Run: x.gossip.Run, Counter: x.gossip.Counter(), Linked: linked, Revision: routing.Revision,
 		Records: news.Records, Seen: news.Seen, Whole: news.Whole, Losses: news.Losses,
 	}
-	out.Hosts, out.Hosted = x.gossip.HostsSince(r.GetNode().GetRegion(), hosted), x.gossip.HostsChanged()
+	out.Hosts, out.Hosted = x.gossip.HostsSince(r.GetNode().GetRegion(), hosted), x.gossip.HostsCounter()
 	out.Loads, out.Loaded = x.gossip.LoadsSince(loaded)
 	x.nameControllers(now, r.GetNode().GetRegion(), out)
 	if routing.Revision > r.GetRevision() {
--- a/core/gossiper/hosts.go
+++ b/core/gossiper/hosts.go
@@ -112,5 +112,5 @@
 	return g.hosts.since(counter, func(m *hostMark) bool { return region == "" || m.host.GetRegion() == region })
 }
 
-// HostsChanged counts the changes of hosts so far.
-func (g *Gossiper) HostsChanged() uint64 { return g.hosts.counter }
+// HostsCounter counts the changes of hosts so far.
+func (g *Gossiper) HostsCounter() uint64 { return g.hosts.counter }
--- a/core/gossiper/hosts_test.go
+++ b/core/gossiper/hosts_test.go
@@ -62,9 +62,9 @@
 	for _, g := range []*Gossiper{a, b} {
 		assertHost(t, g, 1, "t1")
 	}
-	told := a.HostsChanged()
+	told := a.HostsCounter()
 	a.UpdateHosts([]*wire.Host{second})
-	is.Equal(a.HostsChanged(), told)
+	is.Equal(a.HostsCounter(), told)
 	is.Equal(len(a.HostsSince("r", told)), 0)
 }
 
@@ -89,14 +89,14 @@
 	a, b := &Gossiper{Self: "a", Run: 1}, &Gossiper{Self: "b", Run: 2}
 	a.UpdateHosts([]*wire.Host{host(1, "t1"), host(2, "t2")})
 	swap(now, a, b)
-	changed := a.HostsChanged()
+	changed := a.HostsCounter()
 	a.Announce(now, record("t1", 1, 2, wire.TargetState_TARGET_LEAVING))
 	swap(now, a, b)
 	for _, g := range []*Gossiper{a, b} {
 		is.Equal(len(g.HostsSince("r", 0)), 1)
 		assertHost(t, g, 2, "t2")
 	}
-	is.True(a.HostsChanged() > changed) // the file is written anew
+	is.True(a.HostsCounter() > changed) // the file is written anew
 	t.Run("also if they are told late", func(t *testing.T) {
 		is := is.New(t)
 		a.UpdateHosts([]*wire.Host{host(3, "t1")})
