--- a/controller/internal/exchanger/watch.go
+++ b/controller/internal/exchanger/watch.go
@@ -18,7 +18,7 @@
 	ctx context.Context, r *connect.Request[wire.WatchRequest],
 ) (*connect.Response[wire.WatchResponse], error) {
 	x.update(func(now time.Time) {
-		x.gossip.See(now, r.Msg.GetNode())
+		x.gossip.ObserveInstance(now, r.Msg.GetNode())
 		x.gossip.UpdateLoads(now, r.Msg.GetLoads())
 	})
 	if r.Msg.GetFirst() {
@@ -108,7 +108,7 @@
 	_ context.Context, r *connect.Request[wire.TellRequest],
 ) (*connect.Response[wire.TellResponse], error) {
 	x.update(func(now time.Time) {
-		x.gossip.See(now, r.Msg.GetNode())
+		x.gossip.ObserveInstance(now, r.Msg.GetNode())
 		x.gossip.ReportLosses(now, r.Msg.GetLosses(), true)
 		x.gossip.UpdateHosts(r.Msg.GetHosts())
 	})
--- a/core/gossiper/gossiper_test.go
+++ b/core/gossiper/gossiper_test.go
@@ -177,7 +177,7 @@
 	is := is.New(t)
 	r := newRing(3)
 	n := &wire.Node{Name: "e1", Caller: "10.0.0.9:80"}
-	r.nodes[0].See(r.now, n)
+	r.nodes[0].ObserveInstance(r.now, n)
 	r.pass(Period)
 	is.Equal(len(r.nodes[2].Nodes(r.now)), 1)
 	for range int(nodeLife/Period) + 1 {
@@ -193,13 +193,13 @@
 	r := newRing(1)
 	g := r.nodes[0]
 	g.Announce(r.now, record("t1", 1, 1, ready))
-	g.See(r.now, &wire.Node{Name: "e1"})
+	g.ObserveInstance(r.now, &wire.Node{Name: "e1"})
 	news := g.ChangesSince(r.now, 0)
 	is.Equal(len(news.Records), 1)
 	is.Equal(len(news.Seen), 1)
 	at := g.Counter()
 	g.Announce(r.now, record("t1", 1, 2, ready))
-	g.See(r.now.Add(time.Second), &wire.Node{Name: "e1"})
+	g.ObserveInstance(r.now.Add(time.Second), &wire.Node{Name: "e1"})
 	is.Equal(g.Counter(), at)
 	g.ReportLosses(r.now, []*wire.Loss{{Fingerprint: []byte("x"), Target: "t1"}}, true)
 	news = g.ChangesSince(r.now, at)
--- a/core/gossiper/nodes.go
+++ b/core/gossiper/nodes.go
@@ -128,8 +128,8 @@
 	return out
 }
 
-// See notes an entry instance's own call.
-func (g *Gossiper) See(now time.Time, n *wire.Node) {
+// ObserveInstance notes an entry instance's own call.
+func (g *Gossiper) ObserveInstance(now time.Time, n *wire.Node) {
 	g.init()
 	g.counter = g.nodes.sight(n, now, true, g.counter)
 }
--- a/core/gossiper/nodes_test.go
+++ b/core/gossiper/nodes_test.go
@@ -21,7 +21,7 @@
 func fill(r *ring, count int) {
 	for range 2 {
 		for i := range count {
-			r.nodes[0].See(r.now, node(i))
+			r.nodes[0].ObserveInstance(r.now, node(i))
 		}
 		r.pass(Period)
 	}
@@ -37,7 +37,7 @@
 		at := r.nodes[1].Counter()
 		leaving := node(7)
 		leaving.Leaving = true
-		r.nodes[0].See(r.now.Add(time.Millisecond), leaving)
+		r.nodes[0].ObserveInstance(r.now.Add(time.Millisecond), leaving)
 		r.pass(Period)
 		news := r.nodes[1].ChangesSince(r.now, at)
 		is.True(!news.Whole)
@@ -52,7 +52,7 @@
 		for range int(nodeLife/Period) + 2 {
 			for i := range 80 {
 				if i != 7 {
-					r.nodes[0].See(r.now, node(i))
+					r.nodes[0].ObserveInstance(r.now, node(i))
 				}
 			}
 			r.pass(Period)
@@ -70,13 +70,13 @@
 	is := is.New(t)
 	g := newRing(1).nodes[0]
 	now := time.Unix(1000, 0)
-	g.See(now, node(0))
+	g.ObserveInstance(now, node(0))
 	at := g.Counter()
 	for i := range rememberGone + 5 {
-		g.See(now, node(i+1))
+		g.ObserveInstance(now, node(i+1))
 	}
 	now = now.Add(2 * nodeLife)
-	g.See(now, node(0))
+	g.ObserveInstance(now, node(0))
 	g.Tick(now)
 	news := g.ChangesSince(now, at)
 	is.True(news.Whole)
