--- a/controller/internal/exchanger/watch.go
+++ b/controller/internal/exchanger/watch.go
@@ -119,5 +119,5 @@
 func (x *Exchanger) Entries() []*wire.Seen {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return x.gossip.Nodes(time.Now())
+	return x.gossip.Instances(time.Now())
 }
--- a/core/gossiper/gossiper_test.go
+++ b/core/gossiper/gossiper_test.go
@@ -179,12 +179,12 @@
 	n := &wire.Node{Name: "e1", Caller: "10.0.0.9:80"}
 	r.nodes[0].ObserveInstance(r.now, n)
 	r.pass(Period)
-	is.Equal(len(r.nodes[2].Nodes(r.now)), 1)
+	is.Equal(len(r.nodes[2].Instances(r.now)), 1)
 	for range int(nodeLife/Period) + 1 {
 		r.pass(Period)
 	}
 	for _, g := range r.nodes {
-		is.Equal(len(g.Nodes(r.now)), 0)
+		is.Equal(len(g.Instances(r.now)), 0)
 	}
 }
 
--- a/core/gossiper/nodes.go
+++ b/core/gossiper/nodes.go
@@ -134,5 +134,5 @@
 	g.counter = g.nodes.sight(n, now, true, g.counter)
 }
 
-// Nodes returns the entry instances heard lately, by name.
-func (g *Gossiper) Nodes(now time.Time) []*wire.Seen { return g.nodes.live(now) }
+// Instances returns the entry instances heard lately, by name.
+func (g *Gossiper) Instances(now time.Time) []*wire.Seen { return g.nodes.live(now) }
