--- a/controller/internal/cli/cli.go
+++ b/controller/internal/cli/cli.go
@@ -149,9 +149,9 @@
 		Seats:  settings.Seats,
 		Found:  settings.Found,
 		Timing: replicator.Timing{
-			Election:  settings.Election,
-			Heartbeat: settings.Heartbeat,
-			Replace:   settings.Replace,
+			Election:     settings.Election,
+			Heartbeat:    settings.Heartbeat,
+			ReplaceAfter: settings.Replace,
 		},
 		Lease:  settings.Lease,
 		Quotas: settings.Quotas,
--- a/core/replicator/group_test.go
+++ b/core/replicator/group_test.go
@@ -70,9 +70,9 @@
 }
 
 var testTiming = Timing{
-	Election:  100 * time.Millisecond,
-	Heartbeat: 20 * time.Millisecond,
-	Replace:   300 * time.Millisecond,
+	Election:     100 * time.Millisecond,
+	Heartbeat:    20 * time.Millisecond,
+	ReplaceAfter: 300 * time.Millisecond,
 }
 
 // failer is what reports a broken promise.
--- a/core/replicator/membership.go
+++ b/core/replicator/membership.go
@@ -163,7 +163,7 @@
 	if !ok {
 		return false
 	}
-	return now.Sub(p.confirmed) > r.Timing.Replace && now.Sub(p.since) > r.Timing.Replace
+	return now.Sub(p.confirmed) > r.Timing.ReplaceAfter && now.Sub(p.since) > r.Timing.ReplaceAfter
 }
 
 func (r *Replica) changeConfig(now time.Time, c *wire.Config) {
--- a/core/replicator/replica.go
+++ b/core/replicator/replica.go
@@ -58,8 +58,8 @@
 type Timing struct {
 	Election  time.Duration
 	Heartbeat time.Duration
-	// Replace is how long a voter must be silent before a new disk of the same name takes its seat.
-	Replace time.Duration
+	// ReplaceAfter is how long a voter must be silent before a new disk of the same name takes its seat.
+	ReplaceAfter time.Duration
 }
 
 // Replica is one member of the group. Set the exported fields, then call Start.
