--- a/controller/internal/cli/cli.go
+++ b/controller/internal/cli/cli.go
@@ -143,11 +143,11 @@
 	controlKeys := &securer.Keys{Files: settings.ControlKeys}
 	carrier := &courier.Courier{Dialer: &dialer.Dialer{Keys: controlKeys}, Logger: logs}
 	mind := &consenter.Consenter{
-		Folder: settings.Folder,
-		Member: &wire.Member{Name: settings.Name, Address: settings.Control.String()},
-		Peers:  settings.Peers,
-		Seats:  settings.Seats,
-		Found:  settings.Found,
+		Folder:    settings.Folder,
+		Member:    &wire.Member{Name: settings.Name, Address: settings.Control.String()},
+		Peers:     settings.Peers,
+		MaxVoters: settings.Seats,
+		Found:     settings.Found,
 		Timing: replicator.Timing{
 			Election:     settings.Election,
 			Heartbeat:    settings.Heartbeat,
--- a/controller/internal/consenter/consenter.go
+++ b/controller/internal/consenter/consenter.go
@@ -40,8 +40,8 @@
 	Member *wire.Member
 	// Peers are the controllers known from the settings, by name.
 	Peers map[string]netip.AddrPort
-	// Seats is how many controllers vote.
-	Seats int
+	// MaxVoters is how many controllers vote.
+	MaxVoters int
 	// Found makes this controller one of the group's founders if its disk is empty: the group then is exactly
 	// Peers. It may only be set while the whole system starts for the first time, on all founders alike.
 	Found  bool
@@ -139,7 +139,7 @@
 		Self:   c.Member,
 		Timing: c.Timing,
 		Random: rand.New(rand.NewPCG(c.Member.GetIncarnation(), uint64(now.UnixNano()))),
-		Seats:  c.Seats,
+		Seats:  c.MaxVoters,
 	}
 	c.replica.Start(now, recovered.Vote, recovered.Snapshot, recovered.Entries)
 	_ = level.Info(c.Logger).Log("msg", "recovered", "incarnation", c.Member.GetIncarnation(),
