--- a/controller/internal/consenter/consenter.go
+++ b/controller/internal/consenter/consenter.go
@@ -42,11 +42,11 @@
 	Peers map[string]netip.AddrPort
 	// MaxVoters is how many controllers vote.
 	MaxVoters int
-	// Found makes this controller one of the group's founders if its disk is empty: the group then is exactly
+	// Bootstrap makes this controller one of the group's founders if its disk is empty: the group then is exactly
 	// Peers. It may only be set while the whole system starts for the first time, on all founders alike.
-	Found  bool
-	Timing replicator.Timing
-	Lease  time.Duration
+	Bootstrap bool
+	Timing    replicator.Timing
+	Lease     time.Duration
 	// Quotas say how exact organisations' quotas have to be.
 	Quotas quoter.Terms
 	Sender Sender
--- a/controller/internal/consenter/founder.go
+++ b/controller/internal/consenter/founder.go
@@ -20,7 +20,7 @@
 // a newcomer: founding again would start a second group and undo every accepted change.
 func (c *Consenter) found(recovered *storer.Recovered) error {
 	_, founder := c.Peers[c.Member.GetName()]
-	if !c.Found || !founder || recovered.Identity != nil || len(recovered.Entries) > 0 {
+	if !c.Bootstrap || !founder || recovered.Identity != nil || len(recovered.Entries) > 0 {
 		return nil
 	}
 	config := &wire.Config{}
