--- a/controller/internal/cli/cli.go
+++ b/controller/internal/cli/cli.go
@@ -163,7 +163,7 @@
 		Self: settings.Name, Region: settings.Region, Mind: mind, Dialer: &dialer.Dialer{Keys: controlKeys, Plain: true},
 		Shelf: &storer.Hosts{Folder: settings.Folder}, Logger: logs,
 	}
-	mind.Changed = exchange.Wake
+	mind.OnRoutingChange = exchange.Wake
 	change := &changer.Changer{Mind: mind, Passer: exchange, Logger: logs}
 	divide := &divider.Divider{Mind: mind, Passer: exchange, Logger: logs}
 	handlers := &server.Server{
--- a/controller/internal/consenter/consenter.go
+++ b/controller/internal/consenter/consenter.go
@@ -50,10 +50,10 @@
 	// Quotas say how exact organisations' quotas have to be.
 	Quotas quoter.Terms
 	Sender Sender
-	// Changed is called after the routing state has changed; it must not block.
-	Changed func()
-	Logger  log.Logger
-	Fatal   chan<- error
+	// OnRoutingChange is called after the routing state has changed; it must not block.
+	OnRoutingChange func()
+	Logger          log.Logger
+	Fatal           chan<- error
 
 	replica   replicator.Replica
 	store     storer.Storer
--- a/controller/internal/consenter/routing.go
+++ b/controller/internal/consenter/routing.go
@@ -82,8 +82,8 @@
 	}
 	next.Sealed = sealed(old, next.Plan)
 	c.routing.Store(next)
-	if c.Changed != nil {
-		c.Changed()
+	if c.OnRoutingChange != nil {
+		c.OnRoutingChange()
 	}
 }
 
