--- a/controller/internal/changer/changer.go
+++ b/controller/internal/changer/changer.go
@@ -81,7 +81,7 @@
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	result, err := c.Mind.Propose(ctx, command)
-	var leader *consenter.LeaderError
+	var leader *consenter.NotLeaderError
 	if errors.As(err, &leader) {
 		result, err = c.Passer.Pass(ctx, command)
 	}
--- a/controller/internal/consenter/consenter.go
+++ b/controller/internal/consenter/consenter.go
@@ -177,7 +177,7 @@
 		return &StalledError{}
 	}
 	if s.Leader == "" {
-		return &LeaderError{}
+		return &NotLeaderError{}
 	}
 	return nil
 }
--- a/controller/internal/consenter/errors.go
+++ b/controller/internal/consenter/errors.go
@@ -2,14 +2,14 @@
 
 import "fmt"
 
-// LeaderError says that another controller must be asked; what was asked for certainly did not happen.
-type LeaderError struct {
+// NotLeaderError says that another controller must be asked; what was asked for certainly did not happen.
+type NotLeaderError struct {
 	Leader  string
 	Address string
 }
 
 // Error implements error.
-func (e *LeaderError) Error() string {
+func (e *NotLeaderError) Error() string {
 	if e.Leader == "" {
 		return "no leader is known"
 	}
--- a/controller/internal/consenter/events.go
+++ b/controller/internal/consenter/events.go
@@ -45,9 +45,9 @@
 	c.waiting[index] = &pending{term: term, reply: e.reply}
 }
 
-func (c *Consenter) leaderError() *LeaderError {
+func (c *Consenter) leaderError() *NotLeaderError {
 	m := c.replica.LeaderMember()
-	return &LeaderError{Leader: m.GetName(), Address: m.GetAddress()}
+	return &NotLeaderError{Leader: m.GetName(), Address: m.GetAddress()}
 }
 
 // callEvent runs a call in the control goroutine.
--- a/controller/internal/divider/divider.go
+++ b/controller/internal/divider/divider.go
@@ -36,7 +36,7 @@
 	ctx context.Context, r *connect.Request[wire.AllotRequest],
 ) (*connect.Response[wire.AllotResponse], error) {
 	response, err := d.Mind.Allot(ctx, r.Msg)
-	var leader *consenter.LeaderError
+	var leader *consenter.NotLeaderError
 	if errors.As(err, &leader) && !r.Msg.GetPassed() {
 		response, err = d.pass(ctx, r.Msg)
 	}
--- a/controller/internal/server/server.go
+++ b/controller/internal/server/server.go
@@ -222,7 +222,7 @@
 
 // translate gives each kind of refusal its own code and reason, so that callers never read messages.
 func translate(err error) error {
-	var leader *consenter.LeaderError
+	var leader *consenter.NotLeaderError
 	var unknown *consenter.UnknownError
 	var lost *consenter.LostError
 	var sequence *granter.SequenceError
