--- a/controller/internal/consenter/apply.go
+++ b/controller/internal/consenter/apply.go
@@ -31,7 +31,7 @@
 	}
 	delete(c.waiting, e.GetIndex())
 	if p.term != e.GetTerm() {
-		p.reply <- answer{err: &LostError{}}
+		p.reply <- answer{err: &ProposalReplacedError{}}
 		return
 	}
 	p.reply <- answer{result: result}
--- a/controller/internal/consenter/errors.go
+++ b/controller/internal/consenter/errors.go
@@ -16,11 +16,13 @@
 	return fmt.Sprintf("%s at %s leads", e.Leader, e.Address)
 }
 
-// LostError says that a proposal was replaced by another and certainly did not happen.
-type LostError struct{}
+// ProposalReplacedError says that a proposal was replaced by another and certainly did not happen.
+type ProposalReplacedError struct{}
 
 // Error implements error.
-func (e *LostError) Error() string { return "the proposal was replaced after a change of leader" }
+func (e *ProposalReplacedError) Error() string {
+	return "the proposal was replaced after a change of leader"
+}
 
 // UnknownError says that a proposal may or may not happen; ask again under the same id.
 type UnknownError struct{}
--- a/controller/internal/server/server.go
+++ b/controller/internal/server/server.go
@@ -224,7 +224,7 @@
 func translate(err error) error {
 	var leader *consenter.NotLeaderError
 	var unknown *consenter.UnknownError
-	var lost *consenter.LostError
+	var lost *consenter.ProposalReplacedError
 	var sequence *granter.SequenceError
 	var group *consenter.GroupError
 	switch {
