--- a/controller/internal/consenter/routing.go
+++ b/controller/internal/consenter/routing.go
@@ -14,9 +14,9 @@
 	// Revision is the log index that last changed the state; it orders the pictures of all controllers.
 	Revision uint64
 	Plan     *wire.Plan
-	// Sealed is the plan without the organisations' keys.
-	Sealed    *wire.Plan
-	Evacuated []string
+	// PlanWithoutKeys is the plan without the organisations' keys.
+	PlanWithoutKeys *wire.Plan
+	Evacuated       []string
 	// Members are the controllers, Leader is the name of the one that leads, or empty.
 	Members []*wire.Member
 	Leader  string
@@ -80,7 +80,7 @@
 	if old != nil && old.Revision == next.Revision && old.Leader == next.Leader && slices.Equal(old.Members, next.Members) {
 		return
 	}
-	next.Sealed = sealed(old, next.Plan)
+	next.PlanWithoutKeys = sealed(old, next.Plan)
 	c.routing.Store(next)
 	if c.OnRoutingChange != nil {
 		c.OnRoutingChange()
@@ -90,7 +90,7 @@
 // sealed returns a plan without keys, the one made before if the plan is the same.
 func sealed(old *Routing, plan *wire.Plan) *wire.Plan {
 	if old != nil && old.Plan == plan {
-		return old.Sealed
+		return old.PlanWithoutKeys
 	}
 	if plan == nil {
 		return nil
--- a/controller/internal/exchanger/watch.go
+++ b/controller/internal/exchanger/watch.go
@@ -71,7 +71,7 @@
 	if routing.Revision > r.GetRevision() {
 		out.Evacuated = routing.Evacuated
 		if routing.Plan.GetVersion() > r.GetVersion() {
-			out.Plan = routing.Sealed
+			out.Plan = routing.PlanWithoutKeys
 		}
 	}
 	fresh := routing.Revision > r.GetRevision() || !news.Empty() || len(out.Hosts) > 0
