--- a/controller/internal/consenter/summary.go
+++ b/controller/internal/consenter/summary.go
@@ -8,15 +8,15 @@
 
 // Summary is what metrics and health checks read without entering the control goroutine.
 type Summary struct {
-	Leads   bool
-	Leader  string
-	Number  uint64
-	Commit  uint64
-	Claims  int
-	Term    uint64
-	Entries int
-	At      time.Time
-	Limits  []*wire.LimitStatus
+	Leads           bool
+	Leader          string
+	CatalogueNumber uint64
+	Commit          uint64
+	Claims          int
+	Term            uint64
+	Entries         int
+	At              time.Time
+	Limits          []*wire.LimitStatus
 }
 
 // Summary returns the newest summary, or nil before the first.
@@ -27,14 +27,14 @@
 		return
 	}
 	s := &Summary{
-		Leads:   c.leads(now),
-		Leader:  c.replica.LeaderMember().GetName(),
-		Number:  c.state.Number(),
-		Commit:  c.committed,
-		Claims:  c.state.Ledger.Count(),
-		Term:    c.replica.Term(),
-		Entries: c.roster.count(now),
-		At:      now,
+		Leads:           c.leads(now),
+		Leader:          c.replica.LeaderMember().GetName(),
+		CatalogueNumber: c.state.Number(),
+		Commit:          c.committed,
+		Claims:          c.state.Ledger.Count(),
+		Term:            c.replica.Term(),
+		Entries:         c.roster.count(now),
+		At:              now,
 	}
 	if s.Leads {
 		s.Limits = c.limitStatus(now)
--- a/controller/internal/server/metrics.go
+++ b/controller/internal/server/metrics.go
@@ -49,7 +49,7 @@
 		leads = 1
 	}
 	gauge(leadsDesc, leads)
-	gauge(numberDesc, float64(s.Number))
+	gauge(numberDesc, float64(s.CatalogueNumber))
 	gauge(commitDesc, float64(s.Commit))
 	gauge(claimsDesc, float64(s.Claims))
 	gauge(entriesDesc, float64(s.Entries))
