--- a/controller/internal/consenter/summary.go
+++ b/controller/internal/consenter/summary.go
@@ -14,7 +14,7 @@
 	Commit          uint64
 	Claims          int
 	Term            uint64
-	Entries         int
+	EntryInstances  int
 	At              time.Time
 	Limits          []*wire.LimitStatus
 }
@@ -33,7 +33,7 @@
 		Commit:          c.committed,
 		Claims:          c.state.Ledger.Count(),
 		Term:            c.replica.Term(),
-		Entries:         c.roster.count(now),
+		EntryInstances:  c.roster.count(now),
 		At:              now,
 	}
 	if s.Leads {
--- a/controller/internal/server/metrics.go
+++ b/controller/internal/server/metrics.go
@@ -52,7 +52,7 @@
 	gauge(numberDesc, float64(s.CatalogueNumber))
 	gauge(commitDesc, float64(s.Commit))
 	gauge(claimsDesc, float64(s.Claims))
-	gauge(entriesDesc, float64(s.Entries))
+	gauge(entriesDesc, float64(s.EntryInstances))
 	gauge(termDesc, float64(s.Term))
 	for _, l := range s.Limits {
 		gauge(capDesc, float64(l.GetCap()), l.GetResource())
