--- a/controller/internal/consenter/apply.go
+++ b/controller/internal/consenter/apply.go
@@ -71,7 +71,7 @@
 func (c *Consenter) abandon() {
 	for index, p := range c.waiting {
 		delete(c.waiting, index)
-		p.reply <- answer{err: &UnknownError{}}
+		p.reply <- answer{err: &OutcomeUnknownError{}}
 	}
 }
 
--- a/controller/internal/consenter/errors.go
+++ b/controller/internal/consenter/errors.go
@@ -24,11 +24,13 @@
 	return "the proposal was replaced after a change of leader"
 }
 
-// UnknownError says that a proposal may or may not happen; ask again under the same id.
-type UnknownError struct{}
+// OutcomeUnknownError says that a proposal may or may not happen; ask again under the same id.
+type OutcomeUnknownError struct{}
 
 // Error implements error.
-func (e *UnknownError) Error() string { return "the outcome is unknown; ask again with the same id" }
+func (e *OutcomeUnknownError) Error() string {
+	return "the outcome is unknown; ask again with the same id"
+}
 
 // StalledError says that the control goroutine does not run.
 type StalledError struct{}
--- a/controller/internal/consenter/events.go
+++ b/controller/internal/consenter/events.go
@@ -152,9 +152,9 @@
 	case a := <-reply:
 		return a.result, a.err
 	case <-ctx.Done():
-		return nil, &UnknownError{}
+		return nil, &OutcomeUnknownError{}
 	case <-c.done:
-		return nil, &UnknownError{}
+		return nil, &OutcomeUnknownError{}
 	}
 }
 
--- a/controller/internal/server/server.go
+++ b/controller/internal/server/server.go
@@ -223,7 +223,7 @@
 // translate gives each kind of refusal its own code and reason, so that callers never read messages.
 func translate(err error) error {
 	var leader *consenter.NotLeaderError
-	var unknown *consenter.UnknownError
+	var unknown *consenter.OutcomeUnknownError
 	var lost *consenter.ProposalReplacedError
 	var sequence *granter.SequenceError
 	var group *consenter.GroupError
