--- a/controller/internal/consenter/errors.go
+++ b/controller/internal/consenter/errors.go
@@ -38,14 +38,14 @@
 // Error implements error.
 func (e *StalledError) Error() string { return "control state is not running" }
 
-// GroupError says that the caller belongs to another group of controllers.
-type GroupError struct {
+// WrongGroupError says that the caller belongs to another group of controllers.
+type WrongGroupError struct {
 	Want uint64
 	Have uint64
 }
 
 // Error implements error.
-func (e *GroupError) Error() string {
+func (e *WrongGroupError) Error() string {
 	return fmt.Sprintf("this controller belongs to group %x, not %x", e.Have, e.Want)
 }
 
--- a/controller/internal/consenter/events.go
+++ b/controller/internal/consenter/events.go
@@ -66,7 +66,7 @@
 		return nil, c.leaderError()
 	}
 	if r.GetGroup() != 0 && r.GetGroup() != c.replica.Group {
-		return nil, &GroupError{Want: r.GetGroup(), Have: c.replica.Group}
+		return nil, &WrongGroupError{Want: r.GetGroup(), Have: c.replica.Group}
 	}
 	node := r.GetNode()
 	id := granter.HolderID{Name: node.GetName(), Incarnation: node.GetIncarnation()}
--- a/controller/internal/server/server.go
+++ b/controller/internal/server/server.go
@@ -226,7 +226,7 @@
 	var unknown *consenter.OutcomeUnknownError
 	var lost *consenter.ProposalReplacedError
 	var sequence *granter.SequenceError
-	var group *consenter.GroupError
+	var group *consenter.WrongGroupError
 	switch {
 	case errors.As(err, &leader):
 		return detail(connect.CodeFailedPrecondition, err, "leader", leader.Address)
