--- a/controller/internal/consenter/apply.go
+++ b/controller/internal/consenter/apply.go
@@ -31,7 +31,7 @@
 	}
 	delete(c.waiting, e.GetIndex())
 	if p.term != e.GetTerm() {
-		p.reply <- answer{err: &LostError{}}
+		p.reply <- answer{err: &ProposalReplacedError{}}
 		return
 	}
 	p.reply <- answer{result: result}
@@ -71,7 +71,7 @@
 func (c *Consenter) abandon() {
 	for index, p := range c.waiting {
 		delete(c.waiting, index)
-		p.reply <- answer{err: &UnknownError{}}
+		p.reply <- answer{err: &OutcomeUnknownError{}}
 	}
 }
 
--- a/controller/internal/consenter/events.go
+++ b/controller/internal/consenter/events.go
@@ -45,9 +45,9 @@
 	c.waiting[index] = &pending{term: term, reply: e.reply}
 }
 
-func (c *Consenter) leaderError() *LeaderError {
+func (c *Consenter) leaderError() *NotLeaderError {
 	m := c.replica.LeaderMember()
-	return &LeaderError{Leader: m.GetName(), Address: m.GetAddress()}
+	return &NotLeaderError{Leader: m.GetName(), Address: m.GetAddress()}
 }
 
 // callEvent runs a call in the control goroutine.
@@ -66,7 +66,7 @@
 		return nil, c.leaderError()
 	}
 	if r.GetGroup() != 0 && r.GetGroup() != c.replica.Group {
-		return nil, &GroupError{Want: r.GetGroup(), Have: c.replica.Group}
+		return nil, &WrongGroupError{Want: r.GetGroup(), Have: c.replica.Group}
 	}
 	node := r.GetNode()
 	id := granter.HolderID{Name: node.GetName(), Incarnation: node.GetIncarnation()}
@@ -152,9 +152,9 @@
 	case a := <-reply:
 		return a.result, a.err
 	case <-ctx.Done():
-		return nil, &UnknownError{}
+		return nil, &OutcomeUnknownError{}
 	case <-c.done:
-		return nil, &UnknownError{}
+		return nil, &OutcomeUnknownError{}
 	}
 }
 
--- a/controller/internal/exchanger/exchanger.go
+++ b/controller/internal/exchanger/exchanger.go
@@ -226,7 +226,7 @@
 func (x *Exchanger) exchange(ctx context.Context, client wireconnect.ExchangeClient, name string) error {
 	sent := time.Now()
 	x.mu.Lock()
-	request := x.gossip.Outgoing(sent, name)
+	request := x.gossip.BuildRequest(sent, name)
 	x.mu.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -236,7 +236,7 @@
 	}
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.gossip.Acked(sent, name, response.Msg)
+	x.gossip.HandleResponse(sent, name, response.Msg)
 	if len(request.GetRecords()) > 0 {
 		x.wake()
 	}
@@ -248,7 +248,7 @@
 	_ context.Context, r *connect.Request[wire.ExchangeRequest],
 ) (*connect.Response[wire.ExchangeResponse], error) {
 	var response *wire.ExchangeResponse
-	x.update(func(now time.Time) { response = x.gossip.Incoming(now, r.Msg) })
+	x.update(func(now time.Time) { response = x.gossip.HandleRequest(now, r.Msg) })
 	return connect.NewResponse(response), nil
 }
 
@@ -257,7 +257,7 @@
 	voters := x.Mind.Routing().Voters()
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return most(voters, func(name string) bool { return x.gossip.Reached(now, name) })
+	return most(voters, func(name string) bool { return x.gossip.Reachable(now, name) })
 }
 
 func most(voters []string, holds func(name string) bool) bool {
--- a/core/gossiper/gossiper_test.go
+++ b/core/gossiper/gossiper_test.go
@@ -35,9 +35,9 @@
 			if from == to || r.cut[from.Self] || r.cut[to.Self] {
 				continue
 			}
-			m := from.Outgoing(r.now, to.Self)
+			m := from.BuildRequest(r.now, to.Self)
 			sent += len(m.GetRecords())
-			from.Acked(r.now, to.Self, to.Incoming(r.now, m))
+			from.HandleResponse(r.now, to.Self, to.HandleRequest(r.now, m))
 		}
 	}
 	return sent
@@ -71,8 +71,8 @@
 	r.cut["c3"], r.cut["c4"] = true, true
 	counter := r.nodes[0].Announce(r.now, record("t1", 1, 2, leaving))
 	r.pass(Period)
-	is.True(r.nodes[0].Holds("c1", counter) && r.nodes[0].Holds("c2", counter))
-	is.True(!r.nodes[0].Holds("c3", counter))
+	is.True(r.nodes[0].HasAcknowledged("c1", counter) && r.nodes[0].HasAcknowledged("c2", counter))
+	is.True(!r.nodes[0].HasAcknowledged("c3", counter))
 	r.cut = map[string]bool{"c0": true}
 	for range 4 {
 		r.pass(Period)
@@ -177,14 +177,14 @@
 	is := is.New(t)
 	r := newRing(3)
 	n := &wire.Node{Name: "e1", Caller: "10.0.0.9:80"}
-	r.nodes[0].See(r.now, n)
+	r.nodes[0].ObserveInstance(r.now, n)
 	r.pass(Period)
-	is.Equal(len(r.nodes[2].Nodes(r.now)), 1)
+	is.Equal(len(r.nodes[2].Instances(r.now)), 1)
 	for range int(nodeLife/Period) + 1 {
 		r.pass(Period)
 	}
 	for _, g := range r.nodes {
-		is.Equal(len(g.Nodes(r.now)), 0)
+		is.Equal(len(g.Instances(r.now)), 0)
 	}
 }
 
@@ -193,16 +193,16 @@
 	r := newRing(1)
 	g := r.nodes[0]
 	g.Announce(r.now, record("t1", 1, 1, ready))
-	g.See(r.now, &wire.Node{Name: "e1"})
-	news := g.Since(r.now, 0)
+	g.ObserveInstance(r.now, &wire.Node{Name: "e1"})
+	news := g.ChangesSince(r.now, 0)
 	is.Equal(len(news.Records), 1)
 	is.Equal(len(news.Seen), 1)
 	at := g.Counter()
 	g.Announce(r.now, record("t1", 1, 2, ready))
-	g.See(r.now.Add(time.Second), &wire.Node{Name: "e1"})
+	g.ObserveInstance(r.now.Add(time.Second), &wire.Node{Name: "e1"})
 	is.Equal(g.Counter(), at)
-	g.Report(r.now, []*wire.Loss{{Fingerprint: []byte("x"), Target: "t1"}}, true)
-	news = g.Since(r.now, at)
+	g.ReportLosses(r.now, []*wire.Loss{{Fingerprint: []byte("x"), Target: "t1"}}, true)
+	news = g.ChangesSince(r.now, at)
 	is.Equal(len(news.Records)+len(news.Seen), 0)
 	is.Equal(len(news.Losses), 1)
 }
--- a/core/gossiper/hosts.go
+++ b/core/gossiper/hosts.go
@@ -92,8 +92,8 @@
 	}
 }
 
-// Settle takes the hosts that an entry instance tells, or that were on the disk.
-func (g *Gossiper) Settle(list []*wire.Host) { g.settle(list, true) }
+// UpdateHosts takes the hosts that an entry instance tells, or that were on the disk.
+func (g *Gossiper) UpdateHosts(list []*wire.Host) { g.settle(list, true) }
 
 // settle takes hosts, but for those at targets that have left: an entry instance that is told such a host after a start
 // waits for the target to announce itself, and refuses the object's requests meanwhile.
@@ -107,10 +107,10 @@
 	return ok && record.GetState() != wire.TargetState_TARGET_READY
 }
 
-// Hosts returns the hosts of a region that changed after a count, of all regions for an empty one.
-func (g *Gossiper) Hosts(region string, counter uint64) []*wire.Host {
+// HostsSince returns the hosts of a region that changed after a count, of all regions for an empty one.
+func (g *Gossiper) HostsSince(region string, counter uint64) []*wire.Host {
 	return g.hosts.since(counter, func(m *hostMark) bool { return region == "" || m.host.GetRegion() == region })
 }
 
-// HostsChanged counts the changes of hosts so far.
-func (g *Gossiper) HostsChanged() uint64 { return g.hosts.counter }
+// HostsCounter counts the changes of hosts so far.
+func (g *Gossiper) HostsCounter() uint64 { return g.hosts.counter }
