--- a/entry/internal/carrier/carrier.go
+++ b/entry/internal/dispatcher/dispatcher.go
@@ -1,5 +1,5 @@
-// Package carrier takes callers' requests to targets by the routing plan: it matches, places, sends and answers.
-package carrier
+// Package dispatcher takes callers' requests to targets by the routing plan: it matches, places, sends and answers.
+package dispatcher
 
 import (
 	"context"
--- a/entry/internal/carrier/job.go
+++ b/entry/internal/dispatcher/job.go
@@ -1,4 +1,4 @@
-package carrier
+package dispatcher
 
 import (
 	"io"
