--- a/core/gauger/gauger.go
+++ b/core/aggregator/aggregator.go
@@ -1,10 +1,10 @@
-// Package gauger tells many entry instances how busy each target is.
+// Package aggregator tells many entry instances how busy each target is.
 //
 // It answers the service with many entry instances and many targets: each instance sends one request in hundreds, so it
 // hears of a target once in many seconds and takes it for an average one in between. Some targets then hold several
 // times their slots while others idle. Each report that a target sends with an answer is passed on instead: an instance
 // collects them, its controller smooths them over all instances of the region, and the instances hear what changed.
-package gauger
+package aggregator
 
 import (
 	"time"
--- a/core/gauger/gauger_test.go
+++ b/core/aggregator/aggregator_test.go
@@ -1,4 +1,4 @@
-package gauger
+package aggregator
 
 import (
 	"fmt"
--- a/core/gossiper/exchange.go
+++ b/core/gossiper/exchange.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"chervilrail.example/core/gauger"
+	"chervilrail.example/core/aggregator"
 	"chervilrail.example/core/wire"
 )
 
@@ -39,7 +39,7 @@
 	out.Hosted = g.hosts.counter
 	out.Hosts = g.hosts.since(p.hosted, func(m *hostMark) bool { return m.own })
 	if p.region == g.Region {
-		out.Loads = gauger.Encode(g.gauge.Near(p.loadedAt))
+		out.Loads = aggregator.Encode(g.gauge.Near(p.loadedAt))
 		p.loadedAt = now
 	}
 	return out
@@ -56,7 +56,7 @@
 	}
 	g.Report(now, r.GetLosses(), false)
 	g.settle(r.GetHosts(), false)
-	g.gauge.See(now, gauger.Decode(r.GetLoads()), false)
+	g.gauge.See(now, aggregator.Decode(r.GetLoads()), false)
 	p := g.peer(r.GetFrom())
 	p.region = r.GetRegion()
 	g.compare(now, p, r.GetDigest())
@@ -124,10 +124,10 @@
 
 // Loads takes what entry instances were told by targets.
 func (g *Gossiper) Loads(now time.Time, loads *wire.Loads) {
-	g.gauge.See(now, gauger.Decode(loads), true)
+	g.gauge.See(now, aggregator.Decode(loads), true)
 }
 
 // LoadsSince returns the loads that changed after a count, and the count of changes so far.
 func (g *Gossiper) LoadsSince(counter uint64) (*wire.Loads, uint64) {
-	return gauger.Encode(g.gauge.Since(counter)), g.gauge.Counter()
+	return aggregator.Encode(g.gauge.Since(counter)), g.gauge.Counter()
 }
--- a/core/gossiper/gossiper.go
+++ b/core/gossiper/gossiper.go
@@ -13,7 +13,7 @@
 	"github.com/cespare/xxhash/v2"
 	"google.golang.org/protobuf/proto"
 
-	"chervilrail.example/core/gauger"
+	"chervilrail.example/core/aggregator"
 	"chervilrail.example/core/registrar"
 	"chervilrail.example/core/wire"
 )
@@ -48,7 +48,7 @@
 	peers   map[string]*peer
 	losses  []*loss
 	hosts   hosts
-	gauge   gauger.Gauge
+	gauge   aggregator.Gauge
 	// counter grows with everything that a watcher should learn.
 	counter uint64
 	// digest sums up the targets' records; equal pictures have equal digests.
--- a/entry/internal/dispatcher/attempt.go
+++ b/entry/internal/dispatcher/attempt.go
@@ -9,7 +9,7 @@
 
 	"github.com/go-kit/log/level"
 
-	"chervilrail.example/core/gauger"
+	"chervilrail.example/core/aggregator"
 	"chervilrail.example/core/messenger"
 	"chervilrail.example/core/placer"
 	"chervilrail.example/core/quarantiner"
@@ -176,7 +176,7 @@
 // observe passes on what a target reported of its load.
 func (c *Carrier) observe(t *placer.Target, l *messenger.Load) {
 	if load, ok := l.PerSlot(); ok {
-		c.Views.Observe(gauger.Reading{Target: gauger.Key(t.Name), PerSlot: load})
+		c.Views.Observe(aggregator.Reading{Target: aggregator.Key(t.Name), PerSlot: load})
 	}
 }
 
--- a/entry/internal/dispatcher/dispatcher.go
+++ b/entry/internal/dispatcher/dispatcher.go
@@ -14,7 +14,7 @@
 	"github.com/go-kit/log"
 	"github.com/go-kit/log/level"
 
-	"chervilrail.example/core/gauger"
+	"chervilrail.example/core/aggregator"
 	"chervilrail.example/core/kernel"
 	"chervilrail.example/core/messenger"
 	"chervilrail.example/core/placer"
@@ -41,7 +41,7 @@
 	View() *watcher.View
 	Report(l *wire.Loss)
 	Settle(h *wire.Host)
-	Observe(r gauger.Reading)
+	Observe(r aggregator.Reading)
 }
 
 // Sender carries requests to targets.
@@ -224,7 +224,7 @@
 }
 
 // Hear takes how busy targets are.
-func (c *Carrier) Hear(loads []gauger.Reading) {
+func (c *Carrier) Hear(loads []aggregator.Reading) {
 	now := time.Now()
 	for _, g := range c.allGates() {
 		g.hear(now, loads)
--- a/entry/internal/dispatcher/dispatcher_test.go
+++ b/entry/internal/dispatcher/dispatcher_test.go
@@ -17,7 +17,7 @@
 	"github.com/matryer/is"
 	"github.com/prometheus/client_golang/prometheus"
 
-	"chervilrail.example/core/gauger"
+	"chervilrail.example/core/aggregator"
 	"chervilrail.example/core/placer"
 	"chervilrail.example/core/planner"
 	"chervilrail.example/core/quarantiner"
@@ -102,10 +102,10 @@
 	return v
 }
 
-func (v *views) View() *watcher.View    { return v.view.Load() }
-func (v *views) Report(*wire.Loss)      {}
-func (v *views) Settle(*wire.Host)      {}
-func (v *views) Observe(gauger.Reading) {}
+func (v *views) View() *watcher.View        { return v.view.Load() }
+func (v *views) Report(*wire.Loss)          {}
+func (v *views) Settle(*wire.Host)          {}
+func (v *views) Observe(aggregator.Reading) {}
 
 // alone is the only entry instance of its region; it knows no object.
 type alone struct{}
--- a/entry/internal/dispatcher/gate.go
+++ b/entry/internal/dispatcher/gate.go
@@ -6,8 +6,8 @@
 	"sync"
 	"time"
 
+	"chervilrail.example/core/aggregator"
 	"chervilrail.example/core/budgeter"
-	"chervilrail.example/core/gauger"
 	"chervilrail.example/core/placer"
 	"chervilrail.example/core/wire"
 	"chervilrail.example/entry/internal/locator"
@@ -95,7 +95,7 @@
 }
 
 // hear takes the loads of targets as the controllers tell them.
-func (g *gate) hear(now time.Time, loads []gauger.Reading) {
+func (g *gate) hear(now time.Time, loads []aggregator.Reading) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.place.Hear(now, loads)
--- a/entry/internal/dispatcher/overdue.go
+++ b/entry/internal/dispatcher/overdue.go
@@ -4,7 +4,7 @@
 	"sync"
 	"time"
 
-	"chervilrail.example/core/gauger"
+	"chervilrail.example/core/aggregator"
 )
 
 const (
@@ -50,17 +50,17 @@
 }
 
 // due returns what the requests show that are overdue.
-func (o *overdue) due(now time.Time) []gauger.Reading {
+func (o *overdue) due(now time.Time) []aggregator.Reading {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	var out []gauger.Reading
+	var out []aggregator.Reading
 	for s := range o.running {
 		if now.Before(s.tellAt) {
 			continue
 		}
 		s.tellAt = now.Add(overdueAgain)
-		out = append(out, gauger.Reading{
-			Target: gauger.Key(s.target), PerSlot: float64(now.Sub(s.started)) / float64(s.warm),
+		out = append(out, aggregator.Reading{
+			Target: aggregator.Key(s.target), PerSlot: float64(now.Sub(s.started)) / float64(s.warm),
 		})
 	}
 	return out
--- a/entry/internal/dispatcher/overdue_test.go
+++ b/entry/internal/dispatcher/overdue_test.go
@@ -6,7 +6,7 @@
 
 	"github.com/matryer/is"
 
-	"chervilrail.example/core/gauger"
+	"chervilrail.example/core/aggregator"
 )
 
 // Guards against targets that are many times slower and look idle, for none of them answers.
@@ -20,7 +20,7 @@
 	is.Equal(len(o.due(now.Add(cold))), 0) // as long as a cold run
 	got := o.due(now.Add(3 * time.Second))
 	is.Equal(len(got), 1)
-	is.Equal(got[0].Target, gauger.Key("slow"))
+	is.Equal(got[0].Target, aggregator.Key("slow"))
 	is.Equal(got[0].PerSlot, 5.0)
 	is.Equal(len(o.due(now.Add(3*time.Second+overdueAgain/2))), 0) // told from time to time only
 	is.Equal(o.due(now.Add(6 * time.Second))[0].PerSlot, 10.0)
--- a/entry/internal/watcher/view.go
+++ b/entry/internal/watcher/view.go
@@ -10,8 +10,8 @@
 
 	"github.com/go-kit/log/level"
 
+	"chervilrail.example/core/aggregator"
 	"chervilrail.example/core/dealer"
-	"chervilrail.example/core/gauger"
 	"chervilrail.example/core/placer"
 	"chervilrail.example/core/planner"
 	"chervilrail.example/core/wire"
@@ -46,7 +46,7 @@
 		w.Hosts(r.GetHosts())
 	}
 	if len(r.GetLoads().GetTargets()) > 0 {
-		w.Loads(gauger.Decode(r.GetLoads()))
+		w.Loads(aggregator.Decode(r.GetLoads()))
 	}
 	if stale && s.plan != nil {
 		w.publish(now)
