--- a/core/aggregator/aggregator_test.go
+++ b/core/aggregator/aggregator_test.go
@@ -33,7 +33,7 @@
 // hear of it once in many seconds, and together several times a second.
 func TestManyInstancesKnowABusyTarget(t *testing.T) {
 	is := is.New(t)
-	var here, other Gauge
+	var here, other LoadTable
 	var passed time.Time
 	now := start
 	for i := range 200 {
@@ -45,7 +45,7 @@
 		other.See(now, here.Near(passed), false)
 		passed = now
 	}
-	for _, g := range []*Gauge{&here, &other} {
+	for _, g := range []*LoadTable{&here, &other} {
 		known := map[uint32]float64{}
 		for _, r := range g.Since(0) {
 			known[r.Target] = r.PerSlot
--- a/core/aggregator/gauge.go
+++ b/core/aggregator/gauge.go
@@ -19,9 +19,9 @@
 	forgetAfter = 10 * time.Second
 )
 
-// Gauge is what a controller knows of the targets' loads, from the entry instances of its region and through the other
+// LoadTable is what a controller knows of the targets' loads, from the entry instances of its region and through the other
 // controllers there. The zero value is ready; it is for use under one lock.
-type Gauge struct {
+type LoadTable struct {
 	known   map[uint32]*needle
 	order   []change
 	counter uint64
@@ -59,7 +59,7 @@
 }
 
 // See takes readings; near tells that they came from entry instances, not from another controller.
-func (g *Gauge) See(now time.Time, list []Reading, near bool) {
+func (g *LoadTable) See(now time.Time, list []Reading, near bool) {
 	if g.known == nil {
 		g.known = map[uint32]*needle{}
 	}
@@ -85,7 +85,7 @@
 
 func apart(a, b byte) int { return int(max(a, b)) - int(min(a, b)) }
 
-func (g *Gauge) tell(now time.Time, target uint32, n *needle, level byte) {
+func (g *LoadTable) tell(now time.Time, target uint32, n *needle, level byte) {
 	g.counter++
 	n.level, n.changed, n.toldAt = level, g.counter, now
 	if len(g.order) > 2*len(g.known)+1 {
@@ -95,13 +95,13 @@
 }
 
 // current reports whether a change is the last one of its target.
-func (g *Gauge) current(c change) bool {
+func (g *LoadTable) current(c change) bool {
 	n, ok := g.known[c.target]
 	return ok && n.changed == c.counter
 }
 
 // sweep forgets targets that nobody sends to any more.
-func (g *Gauge) sweep(now time.Time) {
+func (g *LoadTable) sweep(now time.Time) {
 	if now.Before(g.sweepAt) {
 		return
 	}
@@ -114,10 +114,10 @@
 }
 
 // Counter counts the changes so far.
-func (g *Gauge) Counter() uint64 { return g.counter }
+func (g *LoadTable) Counter() uint64 { return g.counter }
 
 // Since returns the loads that changed after a count.
-func (g *Gauge) Since(counter uint64) []Reading {
+func (g *LoadTable) Since(counter uint64) []Reading {
 	at, _ := slices.BinarySearchFunc(g.order, counter+1, func(c change, wanted uint64) int {
 		return int(int64(c.counter) - int64(wanted))
 	})
@@ -131,7 +131,7 @@
 }
 
 // Near returns the loads that entry instances told here after a time, for the other controllers of the region.
-func (g *Gauge) Near(after time.Time) []Reading {
+func (g *LoadTable) Near(after time.Time) []Reading {
 	var out []Reading
 	for target, n := range g.known {
 		if n.near.at.After(after) {
--- a/core/gossiper/gossiper.go
+++ b/core/gossiper/gossiper.go
@@ -48,7 +48,7 @@
 	peers   map[string]*peer
 	losses  []*loss
 	hosts   hosts
-	gauge   aggregator.Gauge
+	gauge   aggregator.LoadTable
 	// counter grows with everything that a watcher should learn.
 	counter uint64
 	// digest sums up the targets' records; equal pictures have equal digests.
