--- a/core/aggregator/aggregator_test.go
+++ b/core/aggregator/aggregator_test.go
@@ -41,8 +41,8 @@
 		var c Collector
 		c.Add(Reading{Key("busy"), 3})
 		c.Add(Reading{Key(fmt.Sprint("idle", i%50)), 0.25})
-		here.See(now, c.Take(), true)
-		other.See(now, here.Near(passed), false)
+		here.Record(now, c.Take(), true)
+		other.Record(now, here.Near(passed), false)
 		passed = now
 	}
 	for _, g := range []*LoadTable{&here, &other} {
@@ -57,7 +57,7 @@
 	t.Run("only what changed is told", func(t *testing.T) {
 		is := is.New(t)
 		before := here.Counter()
-		here.See(now, []Reading{{Key("idle7"), 4}}, true)
+		here.Record(now, []Reading{{Key("idle7"), 4}}, true)
 		news := here.Since(before)
 		is.Equal(len(news), 1)
 		is.Equal(news[0].Target, Key("idle7"))
--- a/core/aggregator/gauge.go
+++ b/core/aggregator/gauge.go
@@ -58,8 +58,8 @@
 	m.weight, m.at = kept+1, now
 }
 
-// See takes readings; near tells that they came from entry instances, not from another controller.
-func (g *LoadTable) See(now time.Time, list []Reading, near bool) {
+// Record takes readings; near tells that they came from entry instances, not from another controller.
+func (g *LoadTable) Record(now time.Time, list []Reading, near bool) {
 	if g.known == nil {
 		g.known = map[uint32]*needle{}
 	}
--- a/core/gossiper/exchange.go
+++ b/core/gossiper/exchange.go
@@ -56,7 +56,7 @@
 	}
 	g.Report(now, r.GetLosses(), false)
 	g.settle(r.GetHosts(), false)
-	g.gauge.See(now, aggregator.Decode(r.GetLoads()), false)
+	g.gauge.Record(now, aggregator.Decode(r.GetLoads()), false)
 	p := g.peer(r.GetFrom())
 	p.region = r.GetRegion()
 	g.compare(now, p, r.GetDigest())
@@ -124,7 +124,7 @@
 
 // Loads takes what entry instances were told by targets.
 func (g *Gossiper) Loads(now time.Time, loads *wire.Loads) {
-	g.gauge.See(now, aggregator.Decode(loads), true)
+	g.gauge.Record(now, aggregator.Decode(loads), true)
 }
 
 // LoadsSince returns the loads that changed after a count, and the count of changes so far.
--- a/core/placer/replay_test.go
+++ b/core/placer/replay_test.go
@@ -415,7 +415,7 @@
 		r.after(way, func() {
 			outcome := Outcome{Load: &load, Failed: !ran}
 			held := float64(max(0, load.Running+load.Waiting-1)) / float64(load.Slots)
-			r.gauges[e.region].See(r.now, []aggregator.Reading{{Target: aggregator.Key(target.Name), PerSlot: held}}, true)
+			r.gauges[e.region].Record(r.now, []aggregator.Reading{{Target: aggregator.Key(target.Name), PerSlot: held}}, true)
 			if ran {
 				// The time that an entry instance sees holds the wait at the target.
 				outcome.Took = r.now.Sub(sent) - 2*way
