--- a/core/aggregator/aggregator_test.go
+++ b/core/aggregator/aggregator_test.go
@@ -42,7 +42,7 @@
 		c.Add(Reading{Key("busy"), 3})
 		c.Add(Reading{Key(fmt.Sprint("idle", i%50)), 0.25})
 		here.Record(now, c.Take(), true)
-		other.Record(now, here.Near(passed), false)
+		other.Record(now, here.Local(passed), false)
 		passed = now
 	}
 	for _, g := range []*LoadTable{&here, &other} {
--- a/core/aggregator/gauge.go
+++ b/core/aggregator/gauge.go
@@ -130,8 +130,8 @@
 	return out
 }
 
-// Near returns the loads that entry instances told here after a time, for the other controllers of the region.
-func (g *LoadTable) Near(after time.Time) []Reading {
+// Local returns the loads that entry instances told here after a time, for the other controllers of the region.
+func (g *LoadTable) Local(after time.Time) []Reading {
 	var out []Reading
 	for target, n := range g.known {
 		if n.near.at.After(after) {
--- a/core/gossiper/exchange.go
+++ b/core/gossiper/exchange.go
@@ -39,7 +39,7 @@
 	out.Hosted = g.hosts.counter
 	out.Hosts = g.hosts.since(p.hosted, func(m *hostMark) bool { return m.own })
 	if p.region == g.Region {
-		out.Loads = aggregator.Encode(g.gauge.Near(p.loadedAt))
+		out.Loads = aggregator.Encode(g.gauge.Local(p.loadedAt))
 		p.loadedAt = now
 	}
 	return out
