--- a/core/aggregator/aggregator.go
+++ b/core/aggregator/aggregator.go
@@ -94,8 +94,8 @@
 	return out
 }
 
-// Fade is the weight that is left of an observation. It falls like an exponential, and is cheap.
-func Fade(age, span time.Duration) float64 {
+// Decay is the weight that is left of an observation. It falls like an exponential, and is cheap.
+func Decay(age, span time.Duration) float64 {
 	x := float64(max(0, age)) / float64(max(1, span))
 	return 1 / (1 + x + x*x/2 + x*x*x/6)
 }
--- a/core/aggregator/gauge.go
+++ b/core/aggregator/gauge.go
@@ -53,7 +53,7 @@
 }
 
 func (m *mean) add(now time.Time, perSlot float64) {
-	kept := m.weight * Fade(now.Sub(m.at), span)
+	kept := m.weight * Decay(now.Sub(m.at), span)
 	m.perSlot = (m.perSlot*kept + perSlot) / (kept + 1)
 	m.weight, m.at = kept+1, now
 }
--- a/core/placer/queue.go
+++ b/core/placer/queue.go
@@ -78,7 +78,7 @@
 		queue += time.Duration(float64(t.Warm) * max(0, p.waiting(now, host)) / slots)
 		return max(queue, t.WarmAt.Sub(now))
 	}
-	weight := aggregator.Fade(now.Sub(p.gapAt), gapLife)
+	weight := aggregator.Decay(now.Sub(p.gapAt), gapLife)
 	even := float64(p.usual()) / max(1, p.share)
 	gap := weight*float64(p.gap) + (1-weight)*even
 	return time.Duration(gap * float64(p.ahead(now, t)+1))
