--- a/core/shifter/shifter.go
+++ b/core/shifter/shifter.go
@@ -18,8 +18,8 @@
 	percent   = 100
 )
 
-// Measure compares the two regions over the last stage.
-type Measure struct {
+// Measurement compares the two regions over the last stage.
+type Measurement struct {
 	At       time.Time
 	Answers  int64
 	Failures int64
@@ -47,7 +47,7 @@
 func (r *Ramp) Stage() int64 { return r.stage }
 
 // Step looks at the newest measure and may change the stage; it reports whether it did.
-func (r *Ramp) Step(now time.Time, m Measure) bool {
+func (r *Ramp) Step(now time.Time, m Measurement) bool {
 	if r.stage == 0 {
 		return r.enter(now, 1)
 	}
@@ -73,7 +73,7 @@
 	return changed
 }
 
-func (m Measure) bad() bool {
+func (m Measurement) bad() bool {
 	if m.Failures*percent > m.Answers*badPercent {
 		return true
 	}
--- a/core/shifter/shifter_test.go
+++ b/core/shifter/shifter_test.go
@@ -9,8 +9,8 @@
 
 var start = time.Unix(1000, 0)
 
-func good(at time.Time) Measure {
-	return Measure{At: at, Answers: 100, There: 20 * time.Millisecond, Here: 10 * time.Millisecond}
+func good(at time.Time) Measurement {
+	return Measurement{At: at, Answers: 100, There: 20 * time.Millisecond, Here: 10 * time.Millisecond}
 }
 
 func TestStages(t *testing.T) {
@@ -18,7 +18,7 @@
 	now := start
 	t.Run("starts with one stage", func(t *testing.T) {
 		is := is.New(t)
-		is.True(r.Step(now, Measure{}))
+		is.True(r.Step(now, Measurement{}))
 		is.Equal(r.Percent(), int64(10))
 	})
 	t.Run("waits for the stage's time", func(t *testing.T) {
@@ -52,7 +52,7 @@
 func TestStaleMeasureChangesNothing(t *testing.T) {
 	is := is.New(t)
 	r := Ramp{Part: 100, Stages: 4}
-	r.Step(start, Measure{})
+	r.Step(start, Measurement{})
 	now := start.Add(time.Minute)
 	is.True(!r.Step(now, good(now.Add(-MeasureAge))))
 	bad := good(now.Add(-MeasureAge))
@@ -64,7 +64,7 @@
 func TestSlowRegionGoesBack(t *testing.T) {
 	is := is.New(t)
 	r := Ramp{Part: 100, Stages: 4}
-	r.Step(start, Measure{})
+	r.Step(start, Measurement{})
 	now := start.Add(StageTime)
 	r.Step(now, good(now))
 	slow := good(now)
--- a/entry/internal/forwarder/ramps.go
+++ b/entry/internal/forwarder/ramps.go
@@ -89,7 +89,7 @@
 		}
 		o.Part, o.Stages = s.Part, s.Stages
 		there, here := r.region(s.To), r.region(s.From)
-		changed := o.Step(now, shifter.Measure{
+		changed := o.Step(now, shifter.Measurement{
 			At:       there.at,
 			Answers:  there.answers - o.answers,
 			Failures: there.failures - o.failures,
