--- a/core/shifter/shifter.go
+++ b/core/shifter/shifter.go
@@ -30,8 +30,8 @@
 
 // Ramp is the state of one shift. Set Part and Stages before use.
 type Ramp struct {
-	// Part is the percentage to reach.
-	Part int64
+	// FinalPercent is the percentage to reach.
+	FinalPercent int64
 	// Stages is over how many steps.
 	Stages int64
 
@@ -41,7 +41,7 @@
 }
 
 // Percent returns the percentage to move at the moment.
-func (r *Ramp) Percent() int64 { return r.Part * r.stage / r.Stages }
+func (r *Ramp) Percent() int64 { return r.FinalPercent * r.stage / r.Stages }
 
 // Stage returns the current stage, 0 before the first.
 func (r *Ramp) Stage() int64 { return r.stage }
--- a/core/shifter/shifter_test.go
+++ b/core/shifter/shifter_test.go
@@ -14,7 +14,7 @@
 }
 
 func TestStages(t *testing.T) {
-	r := Ramp{Part: 50, Stages: 5}
+	r := Ramp{FinalPercent: 50, Stages: 5}
 	now := start
 	t.Run("starts with one stage", func(t *testing.T) {
 		is := is.New(t)
@@ -51,7 +51,7 @@
 // would throw all traffic around once more for no reason.
 func TestStaleMeasureChangesNothing(t *testing.T) {
 	is := is.New(t)
-	r := Ramp{Part: 100, Stages: 4}
+	r := Ramp{FinalPercent: 100, Stages: 4}
 	r.Step(start, Measurement{})
 	now := start.Add(time.Minute)
 	is.True(!r.Step(now, good(now.Add(-MeasureAge))))
@@ -63,7 +63,7 @@
 
 func TestSlowRegionGoesBack(t *testing.T) {
 	is := is.New(t)
-	r := Ramp{Part: 100, Stages: 4}
+	r := Ramp{FinalPercent: 100, Stages: 4}
 	r.Step(start, Measurement{})
 	now := start.Add(StageTime)
 	r.Step(now, good(now))
--- a/entry/internal/forwarder/ramps.go
+++ b/entry/internal/forwarder/ramps.go
@@ -87,7 +87,7 @@
 		if !ok {
 			o = &ramp{}
 		}
-		o.Part, o.Stages = s.Part, s.Stages
+		o.FinalPercent, o.Stages = s.Part, s.Stages
 		there, here := r.region(s.To), r.region(s.From)
 		changed := o.Step(now, shifter.Measurement{
 			At:       there.at,
