--- a/core/shifter/shifter.go
+++ b/core/shifter/shifter.go
@@ -23,9 +23,9 @@
 	At       time.Time
 	Answers  int64
 	Failures int64
-	// There and Here are smoothed answer times of the new and the old region.
-	There time.Duration
-	Here  time.Duration
+	// NewLatency and Here are smoothed answer times of the new and the old region.
+	NewLatency time.Duration
+	Here       time.Duration
 }
 
 // Ramp is the state of one shift. Set Part and Stages before use.
@@ -77,5 +77,5 @@
 	if m.Failures*percent > m.Answers*badPercent {
 		return true
 	}
-	return m.Here > 0 && m.There > slowParts*m.Here
+	return m.Here > 0 && m.NewLatency > slowParts*m.Here
 }
--- a/core/shifter/shifter_test.go
+++ b/core/shifter/shifter_test.go
@@ -10,7 +10,7 @@
 var start = time.Unix(1000, 0)
 
 func good(at time.Time) Measurement {
-	return Measurement{At: at, Answers: 100, There: 20 * time.Millisecond, Here: 10 * time.Millisecond}
+	return Measurement{At: at, Answers: 100, NewLatency: 20 * time.Millisecond, Here: 10 * time.Millisecond}
 }
 
 func TestStages(t *testing.T) {
@@ -68,7 +68,7 @@
 	now := start.Add(StageTime)
 	r.Step(now, good(now))
 	slow := good(now)
-	slow.There = time.Second
+	slow.NewLatency = time.Second
 	is.True(r.Step(now, slow))
 	is.Equal(r.Stage(), int64(1))
 }
--- a/entry/internal/forwarder/ramps.go
+++ b/entry/internal/forwarder/ramps.go
@@ -90,11 +90,11 @@
 		o.FinalPercent, o.Stages = s.Part, s.Stages
 		there, here := r.region(s.To), r.region(s.From)
 		changed := o.Step(now, shifter.Measurement{
-			At:       there.at,
-			Answers:  there.answers - o.answers,
-			Failures: there.failures - o.failures,
-			There:    there.smoothed,
-			Here:     here.smoothed,
+			At:         there.at,
+			Answers:    there.answers - o.answers,
+			Failures:   there.failures - o.failures,
+			NewLatency: there.smoothed,
+			Here:       here.smoothed,
 		})
 		if changed {
 			o.answers, o.failures = there.answers, there.failures
