--- a/core/shifter/shifter.go
+++ b/core/shifter/shifter.go
@@ -25,7 +25,7 @@
 	Failures int64
 	// NewLatency and Here are smoothed answer times of the new and the old region.
 	NewLatency time.Duration
-	Here       time.Duration
+	OldLatency time.Duration
 }
 
 // Ramp is the state of one shift. Set Part and Stages before use.
@@ -77,5 +77,5 @@
 	if m.Failures*percent > m.Answers*badPercent {
 		return true
 	}
-	return m.Here > 0 && m.NewLatency > slowParts*m.Here
+	return m.OldLatency > 0 && m.NewLatency > slowParts*m.OldLatency
 }
--- a/core/shifter/shifter_test.go
+++ b/core/shifter/shifter_test.go
@@ -10,7 +10,7 @@
 var start = time.Unix(1000, 0)
 
 func good(at time.Time) Measurement {
-	return Measurement{At: at, Answers: 100, NewLatency: 20 * time.Millisecond, Here: 10 * time.Millisecond}
+	return Measurement{At: at, Answers: 100, NewLatency: 20 * time.Millisecond, OldLatency: 10 * time.Millisecond}
 }
 
 func TestStages(t *testing.T) {
--- a/entry/internal/forwarder/ramps.go
+++ b/entry/internal/forwarder/ramps.go
@@ -94,7 +94,7 @@
 			Answers:    there.answers - o.answers,
 			Failures:   there.failures - o.failures,
 			NewLatency: there.smoothed,
-			Here:       here.smoothed,
+			OldLatency: here.smoothed,
 		})
 		if changed {
 			o.answers, o.failures = there.answers, there.failures
