--- a/entry/internal/cli/leaver.go
+++ b/entry/internal/cli/leaver.go
@@ -18,7 +18,7 @@
 // just being sent.
 type leaver struct {
 	watcher *watcher.Watcher
-	carrier *dispatcher.Carrier
+	carrier *dispatcher.Dispatcher
 	// serve is how long requests are still taken after the instance is out of the look-ups.
 	serve   time.Duration
 	logger  log.Logger
--- a/entry/internal/cli/routed.go
+++ b/entry/internal/cli/routed.go
@@ -45,7 +45,7 @@
 	closeLog func()
 	registry *prometheus.Registry
 	watcher  *watcher.Watcher
-	carrier  *dispatcher.Carrier
+	carrier  *dispatcher.Dispatcher
 	locator  *locator.Locator
 	asker    *asker.Asker
 	leaver   *leaver
@@ -66,7 +66,7 @@
 		Logger: p.logger,
 		Losses: func(reports []*wire.Loss) { takeLosses(quarantine, reports) },
 	}
-	p.carrier = &dispatcher.Carrier{
+	p.carrier = &dispatcher.Dispatcher{
 		Self: settings.Name, Region: settings.Region, Zone: settings.Zone, Face: translator.Face{}, Views: p.watcher,
 		Sender: &pooler.Pooler{}, Quarantine: quarantine, Logger: p.logger, Metrics: dispatcher.NewMetrics(p.registry),
 	}
--- a/entry/internal/dispatcher/answer.go
+++ b/entry/internal/dispatcher/answer.go
@@ -31,7 +31,7 @@
 
 func gone() result { return result{reason: "gone", gone: true} }
 
-func (c *Carrier) answer(w http.ResponseWriter, j *job, out result) {
+func (c *Dispatcher) answer(w http.ResponseWriter, j *job, out result) {
 	switch {
 	case out.gone:
 		panic(http.ErrAbortHandler)
@@ -77,7 +77,7 @@
 
 func hashName(object uint64) string { return strconv.FormatUint(object, 36) }
 
-func (c *Carrier) report(j *job, out result) {
+func (c *Dispatcher) report(j *job, out result) {
 	took := time.Since(j.started)
 	c.Metrics.ended(j, out, took)
 	var version uint64
--- a/entry/internal/dispatcher/attempt.go
+++ b/entry/internal/dispatcher/attempt.go
@@ -32,7 +32,7 @@
 )
 
 // attempts sends a request until there is a final result, and returns that with what is certain of it.
-func (c *Carrier) attempts(j *job) (result, ending) {
+func (c *Dispatcher) attempts(j *job) (result, ending) {
 	g := c.gate(j.service)
 	g.ask(j.started)
 	var tried []string
@@ -63,7 +63,7 @@
 	}
 }
 
-func (c *Carrier) ticket(j *job, g *gate, tried []string) *placer.Ticket {
+func (c *Dispatcher) ticket(j *job, g *gate, tried []string) *placer.Ticket {
 	warm, cold := c.routes.expected(j.route)
 	j.place = c.locate(j, g, cold)
 	return &placer.Ticket{
@@ -84,7 +84,7 @@
 }
 
 // locate finds the target that keeps the request's object warm.
-func (c *Carrier) locate(j *job, g *gate, cold time.Duration) placer.Place {
+func (c *Dispatcher) locate(j *job, g *gate, cold time.Duration) placer.Place {
 	j.object = j.objectName()
 	if j.object == "" {
 		return placer.Place{}
@@ -113,7 +113,7 @@
 
 // again decides whether a request is sent once more. What may have run is repeated only if it is idempotent; what
 // reached a target is paid for, for all instances together may repeat only a part of their requests.
-func (c *Carrier) again(j *job, g *gate, end ending) bool {
+func (c *Dispatcher) again(j *job, g *gate, end ending) bool {
 	now := time.Now()
 	if !now.Before(j.deadline) || j.request.Context().Err() != nil {
 		return false
@@ -131,7 +131,7 @@
 }
 
 // attempt sends the request to one target, whose slot is already taken.
-func (c *Carrier) attempt(j *job, g *gate, d placer.Decision) (result, ending) {
+func (c *Dispatcher) attempt(j *job, g *gate, d placer.Decision) (result, ending) {
 	t := d.Target
 	// Where a request goes that its object's host has no room for says nothing of the next one.
 	if j.place.Target == "" || j.place.Target == t.Name {
@@ -174,7 +174,7 @@
 }
 
 // observe passes on what a target reported of its load.
-func (c *Carrier) observe(t *placer.Target, l *messenger.Load) {
+func (c *Dispatcher) observe(t *placer.Target, l *messenger.Load) {
 	if load, ok := l.PerSlot(); ok {
 		c.Views.Observe(aggregator.Reading{Target: aggregator.Key(t.Name), PerSlot: load})
 	}
@@ -190,7 +190,7 @@
 	return context.WithDeadline(ctx, j.deadline.Add(answerMargin))
 }
 
-func (c *Carrier) outgoing(j *job, t *placer.Target, now time.Time) *pooler.Request {
+func (c *Dispatcher) outgoing(j *job, t *placer.Target, now time.Time) *pooler.Request {
 	header := j.request.Header.Clone()
 	messenger.RemoveHop(header)
 	header.Del("Content-Length")
@@ -208,7 +208,7 @@
 }
 
 // judge decides what an answer is worth.
-func (c *Carrier) judge(j *job, a *pooler.Answer, how pooler.Ending) (result, ending) {
+func (c *Dispatcher) judge(j *job, a *pooler.Answer, how pooler.Ending) (result, ending) {
 	switch how {
 	case pooler.Unsent:
 		return result{}, unsent
@@ -242,7 +242,7 @@
 }
 
 // clear takes a request that succeeded off all instances' lists of suspects.
-func (c *Carrier) clear(now time.Time, j *job) {
+func (c *Dispatcher) clear(now time.Time, j *job) {
 	if c.Quarantine.Succeed(now, j.fingerprint) {
 		c.Views.Report(&wire.Loss{Fingerprint: j.fingerprint[:], Success: true, Incarnation: rand.Uint64()})
 	}
@@ -267,7 +267,7 @@
 }
 
 // noteLoss remembers what a broken attempt tells of its target, and of its request.
-func (c *Carrier) noteLoss(j *job, t *placer.Target, l loss) {
+func (c *Dispatcher) noteLoss(j *job, t *placer.Target, l loss) {
 	_ = level.Info(c.Logger).Log("msg", "attempt failed", "id", j.call.ID, "target", t.Name, "zone", t.Zone,
 		"sent", l.how != pooler.Unsent, "late", l.late, "took", l.took, "held", l.held(), "err", l.err)
 	if l.held() > 0 {
@@ -288,7 +288,7 @@
 const retryPause = 100 * time.Millisecond
 
 // giveUp words the final answer of a request that no target answered.
-func (c *Carrier) giveUp(j *job, end ending) result {
+func (c *Dispatcher) giveUp(j *job, end ending) result {
 	now := time.Now()
 	if end != unknown {
 		return refuse(http.StatusServiceUnavailable, "failed", now.Add(retryPause))
--- a/entry/internal/dispatcher/dispatcher.go
+++ b/entry/internal/dispatcher/dispatcher.go
@@ -67,8 +67,8 @@
 	Return(organisation string, v quoter.Verdict)
 }
 
-// Carrier is the traffic service. Set the exported fields before Start.
-type Carrier struct {
+// Dispatcher is the traffic service. Set the exported fields before Start.
+type Dispatcher struct {
 	// Self is this instance's name.
 	Self       string
 	Region     string
@@ -96,10 +96,10 @@
 }
 
 // Name implements kernel.Service.
-func (c *Carrier) Name() string { return "carry" }
+func (c *Dispatcher) Name() string { return "carry" }
 
 // Start begins to look after waiting requests.
-func (c *Carrier) Start(context.Context, kernel.Finder) error {
+func (c *Dispatcher) Start(context.Context, kernel.Finder) error {
 	c.gates = map[string]*gate{}
 	c.done = make(chan struct{})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -109,7 +109,7 @@
 }
 
 // Stop waits for the requests in progress.
-func (c *Carrier) Stop(ctx context.Context) error {
+func (c *Dispatcher) Stop(ctx context.Context) error {
 	if c.cancel == nil {
 		return nil
 	}
@@ -130,7 +130,7 @@
 }
 
 // Health implements kernel.Service.
-func (c *Carrier) Health() error {
+func (c *Dispatcher) Health() error {
 	if c.stopping.Load() {
 		return &StoppingError{}
 	}
@@ -138,9 +138,9 @@
 }
 
 // CloseConnections makes every answer ask its caller for a new connection, while requests are still served.
-func (c *Carrier) CloseConnections() { c.stopping.Store(true) }
+func (c *Dispatcher) CloseConnections() { c.stopping.Store(true) }
 
-func (c *Carrier) tend(ctx context.Context) {
+func (c *Dispatcher) tend(ctx context.Context) {
 	defer close(c.done)
 	ticker := time.NewTicker(tendEvery)
 	defer ticker.Stop()
@@ -169,14 +169,14 @@
 }
 
 // balance tells of the objects that move to other targets.
-func (c *Carrier) balance(now time.Time, service string, g *gate) {
+func (c *Dispatcher) balance(now time.Time, service string, g *gate) {
 	for _, m := range g.balance(now) {
 		c.settle(service, m.Object, m.Place)
 	}
 }
 
 // settle makes an object's new place known.
-func (c *Carrier) settle(service string, object uint64, place placer.Place) {
+func (c *Dispatcher) settle(service string, object uint64, place placer.Place) {
 	c.Views.Settle(&wire.Host{
 		Object: object, Service: service, Target: place.Target, Route: place.Route, Version: place.Version,
 	})
@@ -184,19 +184,19 @@
 	c.logPlace(service, object, place)
 }
 
-func (c *Carrier) logPlace(service string, object uint64, place placer.Place) {
+func (c *Dispatcher) logPlace(service string, object uint64, place placer.Place) {
 	_ = level.Info(c.Logger).Log("msg", "object placed", "object", hashName(object), "service", service,
 		"target", place.Target, "reason", place.Reason, "version", place.Version)
 }
 
-func (c *Carrier) allGates() map[string]*gate {
+func (c *Dispatcher) allGates() map[string]*gate {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return maps.Clone(c.gates)
 }
 
 // Follow fits every service's gate to a new view.
-func (c *Carrier) Follow(v *watcher.View) {
+func (c *Dispatcher) Follow(v *watcher.View) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.counted != v.Table.Plan {
@@ -216,7 +216,7 @@
 }
 
 // Remember takes where objects are kept warm.
-func (c *Carrier) Remember(hosts []*wire.Host) {
+func (c *Dispatcher) Remember(hosts []*wire.Host) {
 	now := time.Now()
 	for _, h := range hosts {
 		c.gate(h.GetService()).learn(now, h)
@@ -224,7 +224,7 @@
 }
 
 // Hear takes how busy targets are.
-func (c *Carrier) Hear(loads []aggregator.Reading) {
+func (c *Dispatcher) Hear(loads []aggregator.Reading) {
 	now := time.Now()
 	for _, g := range c.allGates() {
 		g.hear(now, loads)
@@ -232,7 +232,7 @@
 }
 
 // Assign implements locator.Assigner.
-func (c *Carrier) Assign(now time.Time, service string, ask placer.Ask) placer.Place {
+func (c *Dispatcher) Assign(now time.Time, service string, ask placer.Ask) placer.Place {
 	place, object := c.gate(service).assign(now, ask), placer.ObjectOf(ask.Object)
 	switch {
 	case place.Settled:
@@ -243,7 +243,7 @@
 	return place
 }
 
-func (c *Carrier) gate(service string) *gate {
+func (c *Dispatcher) gate(service string) *gate {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	g, ok := c.gates[service]
@@ -255,7 +255,7 @@
 }
 
 // ServeHTTP carries one request and writes its final answer.
-func (c *Carrier) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (c *Dispatcher) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	c.running.Add(1)
 	defer c.running.Add(-1)
 	j := &job{started: time.Now(), request: r}
@@ -269,7 +269,7 @@
 
 // firstView returns the newest view. An instance that starts has none for a moment; callers are sent to it by then, and
 // their requests wait that long.
-func (c *Carrier) firstView(j *job) *watcher.View {
+func (c *Dispatcher) firstView(j *job) *watcher.View {
 	if view := c.Views.View(); view != nil {
 		return view
 	}
@@ -290,7 +290,7 @@
 }
 
 // carry takes a request through its decisions, in order, to its result.
-func (c *Carrier) carry(j *job) result {
+func (c *Dispatcher) carry(j *job) result {
 	j.view = c.firstView(j)
 	if j.view == nil {
 		return refuse(http.StatusServiceUnavailable, "blind", time.Now().Add(blindPause))
--- a/entry/internal/dispatcher/dispatcher_test.go
+++ b/entry/internal/dispatcher/dispatcher_test.go
@@ -137,7 +137,7 @@
 	}
 }
 
-func begin(t *testing.T, ends ...end) (*Carrier, *targets) {
+func begin(t *testing.T, ends ...end) (*Dispatcher, *targets) {
 	t.Helper()
 	s := &targets{ends: ends}
 	var specs []placer.Spec
@@ -147,7 +147,7 @@
 	view := &watcher.View{
 		Table: planner.NewTable(plan()), Targets: map[string][]placer.Spec{"listings": specs}, Entries: 1,
 	}
-	c := &Carrier{
+	c := &Dispatcher{
 		Self: "e1", Locator: alone{}, Quotas: unbounded{}, Region: "r", Zone: "z", Face: translator.Face{}, Views: seen(view), Sender: s,
 		Quarantine: &quarantiner.Quarantiner{Confirm: 3}, Logger: log.NewNopLogger(), Metrics: NewMetrics(prometheus.NewRegistry()),
 	}
@@ -157,7 +157,7 @@
 	return c, s
 }
 
-func ask(c *Carrier, method, path string) *httptest.ResponseRecorder {
+func ask(c *Dispatcher, method, path string) *httptest.ResponseRecorder {
 	r := httptest.NewRequest(method, "http://h.example"+path, strings.NewReader("in"))
 	r.RequestURI = path
 	r.Header.Set(translator.HeaderAttempt, "a1")
--- a/entry/internal/dispatcher/job.go
+++ b/entry/internal/dispatcher/job.go
@@ -57,7 +57,7 @@
 }
 
 // prepare matches and reads a request; a result other than nil ends it.
-func (c *Carrier) prepare(j *job) *result {
+func (c *Dispatcher) prepare(j *job) *result {
 	route, ok := j.view.Table.Match(j.request.Host, j.request.URL.EscapedPath())
 	if !ok {
 		out := refuse(http.StatusNotFound, "route", time.Time{})
--- a/entry/internal/dispatcher/organisation.go
+++ b/entry/internal/dispatcher/organisation.go
@@ -41,7 +41,7 @@
 }
 
 // admit counts the request against its organisation's quota; a result other than nil ends the request.
-func (c *Carrier) admit(j *job) *result {
+func (c *Dispatcher) admit(j *job) *result {
 	if j.organisation == nil {
 		return nil
 	}
--- a/entry/internal/dispatcher/organisation_test.go
+++ b/entry/internal/dispatcher/organisation_test.go
@@ -38,7 +38,7 @@
 const secret = "s3cret"
 
 // organise makes the carrier's plan need keys: acme's is secret, bound may only be served in region q, where no target is.
-func organise(c *Carrier, m *meter) {
+func organise(c *Dispatcher, m *meter) {
 	c.Quotas = m
 	view := *c.Views.View()
 	p := plan()
@@ -58,7 +58,7 @@
 	c.Views = seen(&view)
 }
 
-func askWith(c *Carrier, path string, header http.Header) *httptest.ResponseRecorder {
+func askWith(c *Dispatcher, path string, header http.Header) *httptest.ResponseRecorder {
 	r := httptest.NewRequest(http.MethodPost, "http://h.example"+path, strings.NewReader("in"))
 	r.RequestURI = path
 	r.Header = header.Clone()
--- a/entry/internal/dispatcher/recall.go
+++ b/entry/internal/dispatcher/recall.go
@@ -51,7 +51,7 @@
 }
 
 // recall gives up what is still on its way to targets that were withdrawn.
-func (c *Carrier) recall(now time.Time) {
+func (c *Dispatcher) recall(now time.Time) {
 	for _, w := range c.recalls.take(now) {
 		count := c.Sender.Recall(w.Address, now.Add(-recallAge))
 		if count > 0 {
