--- a/entry/internal/dispatcher/dispatcher.go
+++ b/entry/internal/dispatcher/dispatcher.go
@@ -223,8 +223,8 @@
 	}
 }
 
-// Hear takes how busy targets are.
-func (c *Dispatcher) Hear(loads []aggregator.Reading) {
+// UpdateLoads takes how busy targets are.
+func (c *Dispatcher) UpdateLoads(loads []aggregator.Reading) {
 	now := time.Now()
 	for _, g := range c.allGates() {
 		g.hear(now, loads)
