--- a/entry/internal/cli/routed.go
+++ b/entry/internal/cli/routed.go
@@ -79,7 +79,7 @@
 	}
 	p.locator.Spender = p.asker
 	p.carrier.Locator, p.carrier.Quotas = p.locator, p.asker
-	p.watcher.Changed, p.watcher.Hosts, p.watcher.Loads = p.follow, p.carrier.Remember, p.carrier.UpdateLoads
+	p.watcher.Changed, p.watcher.Hosts, p.watcher.Loads = p.follow, p.carrier.UpdateHosts, p.carrier.UpdateLoads
 	p.leaver = &leaver{watcher: p.watcher, carrier: p.carrier, serve: settings.Answer, logger: p.logger}
 	return p
 }
--- a/entry/internal/dispatcher/dispatcher.go
+++ b/entry/internal/dispatcher/dispatcher.go
@@ -215,8 +215,8 @@
 	}
 }
 
-// Remember takes where objects are kept warm.
-func (c *Dispatcher) Remember(hosts []*wire.Host) {
+// UpdateHosts takes where objects are kept warm.
+func (c *Dispatcher) UpdateHosts(hosts []*wire.Host) {
 	now := time.Now()
 	for _, h := range hosts {
 		c.gate(h.GetService()).learn(now, h)
