--- a/entry/internal/cli/routed.go
+++ b/entry/internal/cli/routed.go
@@ -87,7 +87,7 @@
 // follow puts a new view in force.
 func (p *routed) follow(v *watcher.View) {
 	p.asker.Follow(time.Now(), v)
-	p.carrier.Follow(v)
+	p.carrier.ApplyView(v)
 }
 
 // takeLosses counts what other entry instances saw, as if it had been seen here.
--- a/entry/internal/dispatcher/dispatcher.go
+++ b/entry/internal/dispatcher/dispatcher.go
@@ -195,8 +195,8 @@
 	return maps.Clone(c.gates)
 }
 
-// Follow fits every service's gate to a new view.
-func (c *Dispatcher) Follow(v *watcher.View) {
+// ApplyView fits every service's gate to a new view.
+func (c *Dispatcher) ApplyView(v *watcher.View) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.counted != v.Table.Plan {
--- a/entry/internal/dispatcher/dispatcher_test.go
+++ b/entry/internal/dispatcher/dispatcher_test.go
@@ -152,7 +152,7 @@
 		Quarantine: &quarantiner.Quarantiner{Confirm: 3}, Logger: log.NewNopLogger(), Metrics: NewMetrics(prometheus.NewRegistry()),
 	}
 	is.New(t).NoErr(c.Start(context.Background(), nil))
-	c.Follow(view)
+	c.ApplyView(view)
 	t.Cleanup(func() { is.New(t).NoErr(c.Stop(context.Background())) })
 	return c, s
 }
@@ -219,7 +219,7 @@
 	c, s := begin(t, end{ending: pooler.Broken})
 	view := *c.Views.View()
 	view.Targets = map[string][]placer.Spec{"listings": view.Targets["listings"][:1]}
-	c.Follow(&view)
+	c.ApplyView(&view)
 	w := ask(c, http.MethodPost, "/safe/1")
 	is.Equal(w.Code, http.StatusBadGateway)
 	is.Equal(len(s.sent), 1)
--- a/entry/internal/dispatcher/organisation_test.go
+++ b/entry/internal/dispatcher/organisation_test.go
@@ -137,7 +137,7 @@
 	view.Targets = map[string][]placer.Spec{"listings": append(view.Targets["listings"], placer.Spec{
 		Name: "far", Region: "q", Zone: "y", Slots: 2, Own: 2,
 	})}
-	c.Follow(&view)
+	c.ApplyView(&view)
 	is.Equal(askWith(c, "/once/1", key("bound")).Code, http.StatusOK)
 	is.Equal(s.sent[0].Header.Get(translator.HeaderTarget), "far")
 }
--- a/entry/internal/dispatcher/recall_test.go
+++ b/entry/internal/dispatcher/recall_test.go
@@ -27,7 +27,7 @@
 			if !kept {
 				view.Targets = map[string][]placer.Spec{}
 			}
-			c.Follow(&view)
+			c.ApplyView(&view)
 			is.Equal(s.recalled(), 0) // the last request may still be opening its connection
 			time.Sleep(recallAfter + 5*tendEvery)
 			is.Equal(s.recalled() > 0, !kept)
