--- a/entry/internal/dispatcher/attempt.go
+++ b/entry/internal/dispatcher/attempt.go
@@ -151,7 +151,7 @@
 	out, end := c.judge(j, answer, how)
 	outcome := placer.Outcome{Failed: end != answered}
 	if how == pooler.Answered {
-		outcome.Load = c.Face.Reply(answer.Status, answer.Header).Load
+		outcome.Load = c.Codec.Reply(answer.Status, answer.Header).Load
 		j.load = outcome.Load
 		c.observe(t, outcome.Load)
 	}
@@ -194,7 +194,7 @@
 	header := j.request.Header.Clone()
 	messenger.RemoveHop(header)
 	header.Del("Content-Length")
-	c.Face.Address(header, messenger.Addressee{
+	c.Codec.Address(header, messenger.Addressee{
 		Target: t.Name, Organisation: j.organisation.GetName(), Deadline: j.deadline,
 	}, now)
 	return &pooler.Request{
@@ -203,7 +203,7 @@
 		Host:   j.request.Host,
 		Header: header,
 		Body:   j.body,
-		Mine:   func(h http.Header) bool { return c.Face.Reply(http.StatusOK, h).ID == j.call.ID },
+		Mine:   func(h http.Header) bool { return c.Codec.Reply(http.StatusOK, h).ID == j.call.ID },
 	}
 }
 
@@ -216,7 +216,7 @@
 		return result{}, unknown
 	case pooler.Answered:
 	}
-	reply := c.Face.Reply(a.Status, a.Header)
+	reply := c.Codec.Reply(a.Status, a.Header)
 	if reply.Unrun {
 		return result{}, unrun
 	}
--- a/entry/internal/dispatcher/dispatcher.go
+++ b/entry/internal/dispatcher/dispatcher.go
@@ -73,7 +73,7 @@
 	Self       string
 	Region     string
 	Zone       string
-	Face       messenger.Face
+	Codec      messenger.Face
 	Views      Views
 	Sender     Sender
 	Locator    Locator
--- a/entry/internal/dispatcher/job.go
+++ b/entry/internal/dispatcher/job.go
@@ -64,7 +64,7 @@
 		return &out
 	}
 	j.route = route
-	call, err := c.Face.Call(j.request, j.started)
+	call, err := c.Codec.Call(j.request, j.started)
 	if err != nil {
 		out := refuse(http.StatusBadRequest, "header", time.Time{})
 		return &out
