--- a/core/shifter/shifter.go
+++ b/core/shifter/shifter.go
@@ -28,7 +28,7 @@
 	OldLatency time.Duration
 }
 
-// Ramp is the state of one shift. Set Part and Stages before use.
+// Ramp is the state of one shift. Set FinalPercent and Stages before use.
 type Ramp struct {
 	// FinalPercent is the percentage to reach.
 	FinalPercent int64
