--- a/entry/internal/cli/routed.go
+++ b/entry/internal/cli/routed.go
@@ -20,8 +20,8 @@
 	"chervilrail.example/core/reloader"
 	"chervilrail.example/core/reporter"
 	"chervilrail.example/core/wire"
-	"chervilrail.example/entry/internal/carrier"
 	"chervilrail.example/entry/internal/config"
+	"chervilrail.example/entry/internal/dispatcher"
 	"chervilrail.example/entry/internal/enforcer"
 	"chervilrail.example/entry/internal/locator"
 	"chervilrail.example/entry/internal/pooler"
@@ -45,7 +45,7 @@
 	closeLog func()
 	registry *prometheus.Registry
 	watcher  *watcher.Watcher
-	carrier  *carrier.Carrier
+	carrier  *dispatcher.Dispatcher
 	locator  *locator.Locator
 	asker    *enforcer.Enforcer
 	leaver   *leaver
@@ -66,9 +66,9 @@
 		Logger: p.logger,
 		Losses: func(reports []*wire.Loss) { takeLosses(quarantine, reports) },
 	}
-	p.carrier = &carrier.Carrier{
-		Self: settings.Name, Region: settings.Region, Zone: settings.Zone, Face: translator.Face{}, Views: p.watcher,
-		Sender: &pooler.Pooler{}, Quarantine: quarantine, Logger: p.logger, Metrics: carrier.NewMetrics(p.registry),
+	p.carrier = &dispatcher.Dispatcher{
+		Self: settings.Name, Region: settings.Region, Zone: settings.Zone, Codec: translator.Face{}, Views: p.watcher,
+		Sender: &pooler.Pooler{}, Quarantine: quarantine, Logger: p.logger, Metrics: dispatcher.NewMetrics(p.registry),
 	}
 	p.locator = &locator.Locator{
 		Self: settings.Name, Dialer: &dialer.Dialer{Plain: true}, Assigner: p.carrier, Logger: p.logger,
@@ -79,7 +79,7 @@
 	}
 	p.locator.Spender = p.asker
 	p.carrier.Locator, p.carrier.Quotas = p.locator, p.asker
-	p.watcher.Changed, p.watcher.Hosts, p.watcher.Loads = p.follow, p.carrier.Remember, p.carrier.Hear
+	p.watcher.Changed, p.watcher.Hosts, p.watcher.Loads = p.follow, p.carrier.UpdateHosts, p.carrier.UpdateLoads
 	p.leaver = &leaver{watcher: p.watcher, carrier: p.carrier, serve: settings.Answer, logger: p.logger}
 	return p
 }
@@ -87,7 +87,7 @@
 // follow puts a new view in force.
 func (p *routed) follow(v *watcher.View) {
 	p.asker.Update(time.Now(), v)
-	p.carrier.Follow(v)
+	p.carrier.ApplyView(v)
 }
 
 // takeLosses counts what other entry instances saw, as if it had been seen here.
--- a/entry/internal/carrier/carrier_test.go
+++ b/entry/internal/dispatcher/dispatcher_test.go
@@ -1,4 +1,4 @@
-package carrier
+package dispatcher
 
 import (
 	"context"
@@ -17,7 +17,7 @@
 	"github.com/matryer/is"
 	"github.com/prometheus/client_golang/prometheus"
 
-	"chervilrail.example/core/gauger"
+	"chervilrail.example/core/aggregator"
 	"chervilrail.example/core/placer"
 	"chervilrail.example/core/planner"
 	"chervilrail.example/core/quarantiner"
@@ -102,10 +102,10 @@
 	return v
 }
 
-func (v *views) View() *watcher.View    { return v.view.Load() }
-func (v *views) Report(*wire.Loss)      {}
-func (v *views) Settle(*wire.Host)      {}
-func (v *views) Observe(gauger.Reading) {}
+func (v *views) View() *watcher.View        { return v.view.Load() }
+func (v *views) Report(*wire.Loss)          {}
+func (v *views) Settle(*wire.Host)          {}
+func (v *views) Observe(aggregator.Reading) {}
 
 // alone is the only entry instance of its region; it knows no object.
 type alone struct{}
@@ -137,7 +137,7 @@
 	}
 }
 
-func begin(t *testing.T, ends ...end) (*Carrier, *targets) {
+func begin(t *testing.T, ends ...end) (*Dispatcher, *targets) {
 	t.Helper()
 	s := &targets{ends: ends}
 	var specs []placer.Spec
@@ -147,17 +147,17 @@
 	view := &watcher.View{
 		Table: planner.NewTable(plan()), Targets: map[string][]placer.Spec{"listings": specs}, Entries: 1,
 	}
-	c := &Carrier{
-		Self: "e1", Locator: alone{}, Quotas: unbounded{}, Region: "r", Zone: "z", Face: translator.Face{}, Views: seen(view), Sender: s,
+	c := &Dispatcher{
+		Self: "e1", Locator: alone{}, Quotas: unbounded{}, Region: "r", Zone: "z", Codec: translator.Face{}, Views: seen(view), Sender: s,
 		Quarantine: &quarantiner.Quarantiner{Confirm: 3}, Logger: log.NewNopLogger(), Metrics: NewMetrics(prometheus.NewRegistry()),
 	}
 	is.New(t).NoErr(c.Start(context.Background(), nil))
-	c.Follow(view)
+	c.ApplyView(view)
 	t.Cleanup(func() { is.New(t).NoErr(c.Stop(context.Background())) })
 	return c, s
 }
 
-func ask(c *Carrier, method, path string) *httptest.ResponseRecorder {
+func ask(c *Dispatcher, method, path string) *httptest.ResponseRecorder {
 	r := httptest.NewRequest(method, "http://h.example"+path, strings.NewReader("in"))
 	r.RequestURI = path
 	r.Header.Set(translator.HeaderAttempt, "a1")
@@ -219,7 +219,7 @@
 	c, s := begin(t, end{ending: pooler.Broken})
 	view := *c.Views.View()
 	view.Targets = map[string][]placer.Spec{"listings": view.Targets["listings"][:1]}
-	c.Follow(&view)
+	c.ApplyView(&view)
 	w := ask(c, http.MethodPost, "/safe/1")
 	is.Equal(w.Code, http.StatusBadGateway)
 	is.Equal(len(s.sent), 1)
--- a/entry/internal/carrier/job.go
+++ b/entry/internal/dispatcher/job.go
@@ -1,4 +1,4 @@
-package carrier
+package dispatcher
 
 import (
 	"io"
@@ -57,14 +57,14 @@
 }
 
 // prepare matches and reads a request; a result other than nil ends it.
-func (c *Carrier) prepare(j *job) *result {
+func (c *Dispatcher) prepare(j *job) *result {
 	route, ok := j.view.Table.Match(j.request.Host, j.request.URL.EscapedPath())
 	if !ok {
 		out := refuse(http.StatusNotFound, "route", time.Time{})
 		return &out
 	}
 	j.route = route
-	call, err := c.Face.Call(j.request, j.started)
+	call, err := c.Codec.Call(j.request, j.started)
 	if err != nil {
 		out := refuse(http.StatusBadRequest, "header", time.Time{})
 		return &out
