--- a/entry/internal/sharer/sharer.go
+++ b/entry/internal/broadcaster/broadcaster.go
@@ -1,5 +1,5 @@
-// Package sharer passes announcements and losses on to the other entry instances, and takes theirs.
-package sharer
+// Package broadcaster exchanges announcements and losses with the other entry instances.
+package broadcaster
 
 import (
 	"context"
--- a/entry/internal/cli/cli.go
+++ b/entry/internal/cli/cli.go
@@ -24,13 +24,13 @@
 	"chervilrail.example/core/reporter"
 	"chervilrail.example/core/securer"
 	"chervilrail.example/entry/internal/announcer"
+	"chervilrail.example/entry/internal/broadcaster"
 	"chervilrail.example/entry/internal/config"
 	"chervilrail.example/entry/internal/directory"
 	"chervilrail.example/entry/internal/finder"
 	"chervilrail.example/entry/internal/forwarder"
 	"chervilrail.example/entry/internal/refuser"
 	"chervilrail.example/entry/internal/requester"
-	"chervilrail.example/entry/internal/sharer"
 )
 
 const (
@@ -99,7 +99,7 @@
 	control    *securer.Keys
 	requester  *requester.Requester
 	directory  *directory.Directory
-	sharer     *sharer.Sharer
+	sharer     *broadcaster.Sharer
 	forwarder  *forwarder.Forwarder
 	quarantine *quarantiner.Quarantiner
 }
@@ -115,7 +115,7 @@
 	p.control = &securer.Keys{Files: settings.ControlKeys}
 	calls := &dialer.Dialer{Keys: p.control}
 	p.requester = &requester.Requester{Dialer: calls, Controllers: settings.Controllers}
-	p.sharer = &sharer.Sharer{
+	p.sharer = &broadcaster.Sharer{
 		Instance:   settings.Name,
 		Dialer:     calls,
 		Quarantine: p.quarantine,
