--- a/entry/internal/cli/cli.go
+++ b/entry/internal/cli/cli.go
@@ -27,10 +27,10 @@
 	"chervilrail.example/entry/internal/broadcaster"
 	"chervilrail.example/entry/internal/config"
 	"chervilrail.example/entry/internal/directory"
-	"chervilrail.example/entry/internal/finder"
 	"chervilrail.example/entry/internal/forwarder"
 	"chervilrail.example/entry/internal/refuser"
 	"chervilrail.example/entry/internal/requester"
+	"chervilrail.example/entry/internal/resolver"
 )
 
 const (
@@ -209,7 +209,7 @@
 		Namespace: "chervilrail_entry", Name: "lookups_total", Help: "Look-ups by result.",
 	}, []string{"result"})
 	p.registry.MustRegister(lookups)
-	find := &finder.Handler{
+	find := &resolver.Handler{
 		Views:  p.directory,
 		Region: p.settings.Region,
 		Life:   p.settings.Answer,
--- a/entry/internal/finder/finder.go
+++ b/entry/internal/resolver/resolver.go
@@ -1,5 +1,5 @@
-// Package finder answers look-ups: which entry instances a caller should use.
-package finder
+// Package resolver answers look-ups: which entry instances a caller should use.
+package resolver
 
 import (
 	"net/http"
--- a/entry/internal/finder/finder_test.go
+++ b/entry/internal/resolver/resolver_test.go
@@ -1,4 +1,4 @@
-package finder
+package resolver
 
 import (
 	"encoding/json"
