--- a/entry/internal/broadcaster/broadcaster.go
+++ b/entry/internal/broadcaster/broadcaster.go
@@ -42,8 +42,8 @@
 	Records(ctx context.Context) ([]*wire.Record, error)
 }
 
-// Sharer is the exchange service. Set the exported fields before Start.
-type Sharer struct {
+// Broadcaster is the exchange service. Set the exported fields before Start.
+type Broadcaster struct {
 	Instance   string
 	Dialer     *dialer.Dialer
 	Register   Register
@@ -62,10 +62,10 @@
 }
 
 // Name implements kernel.Service.
-func (s *Sharer) Name() string { return "sharer" }
+func (s *Broadcaster) Name() string { return "sharer" }
 
 // Start begins to exchange.
-func (s *Sharer) Start(context.Context, kernel.Finder) error {
+func (s *Broadcaster) Start(context.Context, kernel.Finder) error {
 	client, err := s.Dialer.Client()
 	if err != nil {
 		return err
@@ -82,7 +82,7 @@
 }
 
 // Stop ends the exchange.
-func (s *Sharer) Stop(context.Context) error {
+func (s *Broadcaster) Stop(context.Context) error {
 	if s.cancel != nil {
 		s.cancel()
 		s.group.Wait()
@@ -92,10 +92,10 @@
 }
 
 // Health implements kernel.Service.
-func (s *Sharer) Health() error { return nil }
+func (s *Broadcaster) Health() error { return nil }
 
 // Spread queues announcements for the other instances; only the newest of each target goes out.
-func (s *Sharer) Spread(records []*wire.Record) {
+func (s *Broadcaster) Spread(records []*wire.Record) {
 	s.mu.Lock()
 	for _, r := range records {
 		s.records[r.GetName()] = r
@@ -105,21 +105,21 @@
 }
 
 // Tell queues a loss, or a success that clears one, for the other instances.
-func (s *Sharer) Tell(l *wire.Loss) {
+func (s *Broadcaster) Tell(l *wire.Loss) {
 	s.mu.Lock()
 	s.losses = append(s.losses, l)
 	s.mu.Unlock()
 	s.signal()
 }
 
-func (s *Sharer) signal() {
+func (s *Broadcaster) signal() {
 	select {
 	case s.wake <- struct{}{}:
 	default:
 	}
 }
 
-func (s *Sharer) spread(ctx context.Context) {
+func (s *Broadcaster) spread(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -135,7 +135,7 @@
 	}
 }
 
-func (s *Sharer) take() *wire.ShareRequest {
+func (s *Broadcaster) take() *wire.ShareRequest {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := &wire.ShareRequest{Losses: s.losses}
@@ -148,13 +148,13 @@
 }
 
 // sendAll calls the others side by side: one that hangs must not delay the news to the rest.
-func (s *Sharer) sendAll(ctx context.Context, r *wire.ShareRequest) {
+func (s *Broadcaster) sendAll(ctx context.Context, r *wire.ShareRequest) {
 	for _, address := range s.peers() {
 		s.group.Go(func() { _, _ = s.call(ctx, address, r) })
 	}
 }
 
-func (s *Sharer) peers() map[string]netip.AddrPort {
+func (s *Broadcaster) peers() map[string]netip.AddrPort {
 	out := map[string]netip.AddrPort{}
 	v := s.Register.View()
 	if v == nil {
@@ -170,7 +170,7 @@
 	return out
 }
 
-func (s *Sharer) call(ctx context.Context, address netip.AddrPort, r *wire.ShareRequest) (*wire.ShareResponse, error) {
+func (s *Broadcaster) call(ctx context.Context, address netip.AddrPort, r *wire.ShareRequest) (*wire.ShareResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	client := wireconnect.NewPeersClient(s.client, s.Dialer.URL(address))
@@ -181,7 +181,7 @@
 	return response.Msg, nil
 }
 
-func (s *Sharer) compare(ctx context.Context) {
+func (s *Broadcaster) compare(ctx context.Context) {
 	next := time.Now()
 	for {
 		select {
@@ -197,7 +197,7 @@
 }
 
 // partner picks an instance not yet greeted, or when the time has come any other.
-func (s *Sharer) partner(due bool) (string, netip.AddrPort, bool) {
+func (s *Broadcaster) partner(due bool) (string, netip.AddrPort, bool) {
 	peers := s.peers()
 	for name, address := range peers {
 		if !s.greeted[name] {
@@ -217,7 +217,7 @@
 	return "", netip.AddrPort{}, false
 }
 
-func (s *Sharer) exchange(ctx context.Context, name string, address netip.AddrPort) {
+func (s *Broadcaster) exchange(ctx context.Context, name string, address netip.AddrPort) {
 	s.greeted[name] = true
 	records, err := s.Register.Records(ctx)
 	if err != nil {
@@ -232,7 +232,7 @@
 }
 
 // Handler returns the service that other instances call.
-func (s *Sharer) Handler() http.Handler {
+func (s *Broadcaster) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle(wireconnect.NewPeersHandler(s,
 		connect.WithReadMaxBytes(maxBytes), connect.WithCompressMinBytes(compressFrom)))
@@ -240,7 +240,7 @@
 }
 
 // Share implements the exchange between entry instances.
-func (s *Sharer) Share(
+func (s *Broadcaster) Share(
 	ctx context.Context, r *connect.Request[wire.ShareRequest],
 ) (*connect.Response[wire.ShareResponse], error) {
 	now := time.Now()
@@ -261,7 +261,7 @@
 	return connect.NewResponse(response), nil
 }
 
-func (s *Sharer) judge(now time.Time, l *wire.Loss) {
+func (s *Broadcaster) judge(now time.Time, l *wire.Loss) {
 	var f quarantiner.Fingerprint
 	if copy(f[:], l.GetFingerprint()) != len(f) {
 		return
--- a/entry/internal/cli/cli.go
+++ b/entry/internal/cli/cli.go
@@ -99,7 +99,7 @@
 	control    *securer.Keys
 	requester  *requester.Requester
 	directory  *directory.Directory
-	sharer     *broadcaster.Sharer
+	sharer     *broadcaster.Broadcaster
 	forwarder  *forwarder.Forwarder
 	quarantine *quarantiner.Quarantiner
 }
@@ -115,7 +115,7 @@
 	p.control = &securer.Keys{Files: settings.ControlKeys}
 	calls := &dialer.Dialer{Keys: p.control}
 	p.requester = &requester.Requester{Dialer: calls, Controllers: settings.Controllers}
-	p.sharer = &broadcaster.Sharer{
+	p.sharer = &broadcaster.Broadcaster{
 		Instance:   settings.Name,
 		Dialer:     calls,
 		Quarantine: p.quarantine,
