--- a/entry/internal/cli/cli.go
+++ b/entry/internal/cli/cli.go
@@ -91,17 +91,17 @@
 
 // program holds the parts of an entry instance while they are put together.
 type program struct {
-	settings   *config.Config
-	path       string
-	logger     log.Logger
-	closeLog   func()
-	registry   *prometheus.Registry
-	control    *securer.Keys
-	requester  *requester.Requester
-	directory  *directory.Directory
-	sharer     *broadcaster.Broadcaster
-	forwarder  *forwarder.Forwarder
-	quarantine *quarantiner.Quarantiner
+	settings    *config.Config
+	path        string
+	logger      log.Logger
+	closeLog    func()
+	registry    *prometheus.Registry
+	control     *securer.Keys
+	requester   *requester.Requester
+	directory   *directory.Directory
+	broadcaster *broadcaster.Broadcaster
+	forwarder   *forwarder.Forwarder
+	quarantine  *quarantiner.Quarantiner
 }
 
 func newProgram(path string, settings *config.Config) *program {
@@ -115,7 +115,7 @@
 	p.control = &securer.Keys{Files: settings.ControlKeys}
 	calls := &dialer.Dialer{Keys: p.control}
 	p.requester = &requester.Requester{Dialer: calls, Controllers: settings.Controllers}
-	p.sharer = &broadcaster.Broadcaster{
+	p.broadcaster = &broadcaster.Broadcaster{
 		Instance:   settings.Name,
 		Dialer:     calls,
 		Quarantine: p.quarantine,
@@ -129,17 +129,17 @@
 		Peer:     settings.Peer,
 		Every:    settings.Renew,
 		Renewer:  p.requester,
-		Spreader: p.sharer,
+		Spreader: p.broadcaster,
 		Logger:   p.logger,
 	}
-	p.sharer.Register = p.directory
+	p.broadcaster.Register = p.directory
 	p.forwarder = &forwarder.Forwarder{
 		Instance:   settings.Name,
 		Region:     settings.Region,
 		Views:      p.directory,
 		Holder:     &p.directory.Holder,
 		Ledger:     p.requester,
-		Teller:     p.sharer,
+		Teller:     p.broadcaster,
 		Quarantine: p.quarantine,
 		Logger:     p.logger,
 		Metrics:    forwarder.NewMetrics(p.registry),
@@ -158,8 +158,8 @@
 		&reloader.Reloader{Load: p.reload, Logger: p.logger},
 		p.requester,
 		p.directory,
-		p.sharer,
-		p.listen("peer", p.sharer.Handler()),
+		p.broadcaster,
+		p.listen("peer", p.broadcaster.Handler()),
 		p.listen("operator", operator),
 		p.forwarder,
 		p.listen("target", p.announce()),
