--- a/entry/internal/forwarder/forwarder.go
+++ b/entry/internal/forwarder/forwarder.go
@@ -41,8 +41,8 @@
 	Settle(ctx context.Context, s *wire.Settle) error
 }
 
-// Teller passes losses on to the other entry instances.
-type Teller interface {
+// LossBroadcaster passes losses on to the other entry instances.
+type LossBroadcaster interface {
 	Tell(l *wire.Loss)
 }
 
@@ -53,7 +53,7 @@
 	Views      Views
 	Holder     *granter.Holder
 	Ledger     Ledger
-	Teller     Teller
+	Teller     LossBroadcaster
 	Quarantine *quarantiner.Quarantiner
 	Logger     log.Logger
 	Metrics    *Metrics
