--- a/entry/internal/cli/cli.go
+++ b/entry/internal/cli/cli.go
@@ -134,16 +134,16 @@
 	}
 	p.broadcaster.Register = p.directory
 	p.forwarder = &forwarder.Forwarder{
-		Instance:   settings.Name,
-		Region:     settings.Region,
-		Views:      p.directory,
-		Holder:     &p.directory.Holder,
-		Ledger:     p.requester,
-		Teller:     p.broadcaster,
-		Quarantine: p.quarantine,
-		Logger:     p.logger,
-		Metrics:    forwarder.NewMetrics(p.registry),
-		Sample:     settings.Sample,
+		Instance:        settings.Name,
+		Region:          settings.Region,
+		Views:           p.directory,
+		Holder:          &p.directory.Holder,
+		Ledger:          p.requester,
+		LossBroadcaster: p.broadcaster,
+		Quarantine:      p.quarantine,
+		Logger:          p.logger,
+		Metrics:         forwarder.NewMetrics(p.registry),
+		Sample:          settings.Sample,
 	}
 	p.registry.MustRegister(&collector{directory: p.directory})
 	return p
--- a/entry/internal/forwarder/forwarder.go
+++ b/entry/internal/forwarder/forwarder.go
@@ -48,15 +48,15 @@
 
 // Forwarder is the traffic service. Set the exported fields before Start.
 type Forwarder struct {
-	Instance   string
-	Region     string
-	Views      Views
-	Holder     *granter.Holder
-	Ledger     Ledger
-	Teller     LossBroadcaster
-	Quarantine *quarantiner.Quarantiner
-	Logger     log.Logger
-	Metrics    *Metrics
+	Instance        string
+	Region          string
+	Views           Views
+	Holder          *granter.Holder
+	Ledger          Ledger
+	LossBroadcaster LossBroadcaster
+	Quarantine      *quarantiner.Quarantiner
+	Logger          log.Logger
+	Metrics         *Metrics
 	// Sample logs one in this many routing decisions.
 	Sample int64
 
--- a/entry/internal/forwarder/forwarder_test.go
+++ b/entry/internal/forwarder/forwarder_test.go
@@ -116,7 +116,7 @@
 	out := &front{ledger: &fakeLedger{}}
 	out.forwarder = &Forwarder{
 		Instance: "e1", Region: "almaty", Views: views, Holder: &granter.Holder{}, Ledger: out.ledger,
-		Teller: views, Quarantine: &quarantiner.Quarantiner{}, Logger: log.NewNopLogger(),
+		LossBroadcaster: views, Quarantine: &quarantiner.Quarantiner{}, Logger: log.NewNopLogger(),
 		Metrics: NewMetrics(prometheus.NewRegistry()), Sample: 1,
 	}
 	is.NoErr(out.forwarder.Start(context.Background(), nil))
