--- a/entry/internal/announcer/announcer.go
+++ b/entry/internal/announcer/announcer.go
@@ -106,7 +106,7 @@
 		Status:  http.StatusBadRequest,
 		Title:   "announcement refused",
 		Detail:  err.Error(),
-		Outcome: refuser.Unrun,
+		Outcome: refuser.NotRun,
 	}
 	var lapsed *directory.LapsedError
 	if errors.As(err, &lapsed) {
--- a/entry/internal/forwarder/attempt.go
+++ b/entry/internal/forwarder/attempt.go
@@ -138,7 +138,7 @@
 // shed reports a target's own word that it did not run the request.
 func shed(r *http.Response) bool {
 	return r.StatusCode == http.StatusServiceUnavailable &&
-		r.Header.Get(refuser.HeaderOutcome) == string(refuser.Unrun)
+		r.Header.Get(refuser.HeaderOutcome) == string(refuser.NotRun)
 }
 
 // attemptContext lets a request that must not repeat go on when its caller leaves: cancelled halfway it
--- a/entry/internal/forwarder/forwarder_test.go
+++ b/entry/internal/forwarder/forwarder_test.go
@@ -246,10 +246,10 @@
 	is.New(t).NoErr(closed.Close())
 	f := newFront(t, closed.Addr().String())
 	t.Run("nobody listens", func(t *testing.T) {
-		assertOutcome(t, f.send(t, http.MethodGet, "/", "", nil), http.StatusServiceUnavailable, refuser.Unrun)
+		assertOutcome(t, f.send(t, http.MethodGet, "/", "", nil), http.StatusServiceUnavailable, refuser.NotRun)
 	})
 	t.Run("a booking frees its key", func(t *testing.T) {
-		assertOutcome(t, f.send(t, http.MethodPost, "/rsvp", "x", key(t)), http.StatusServiceUnavailable, refuser.Unrun)
+		assertOutcome(t, f.send(t, http.MethodPost, "/rsvp", "x", key(t)), http.StatusServiceUnavailable, refuser.NotRun)
 		for range 100 {
 			f.ledger.mu.Lock()
 			settled := len(f.ledger.settled)
@@ -266,7 +266,7 @@
 	t.Run("stopping", func(t *testing.T) {
 		f.forwarder.RefuseNew()
 		r := f.send(t, http.MethodGet, "/", "", nil)
-		assertOutcome(t, r, http.StatusServiceUnavailable, refuser.Unrun)
+		assertOutcome(t, r, http.StatusServiceUnavailable, refuser.NotRun)
 		is.New(t).True(r.Header.Get("Retry-After") != "")
 	})
 }
@@ -288,12 +288,12 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			assertOutcome(t, f.send(t, http.MethodPost, c.path, "x", c.header), c.status, refuser.Unrun)
+			assertOutcome(t, f.send(t, http.MethodPost, c.path, "x", c.header), c.status, refuser.NotRun)
 		})
 	}
 	t.Run("too large", func(t *testing.T) {
 		large := strings.Repeat("x", 2<<20)
-		assertOutcome(t, f.send(t, http.MethodPost, "/", large, nil), http.StatusRequestEntityTooLarge, refuser.Unrun)
+		assertOutcome(t, f.send(t, http.MethodPost, "/", large, nil), http.StatusRequestEntityTooLarge, refuser.NotRun)
 	})
 }
 
@@ -376,6 +376,6 @@
 	j := &job{request: r, ctx: r.Context(), view: view, entry: &cataloguer.Entry{Service: "listings"}}
 	_, refusal := f.forwarder.place(j, newDoor(), nil)
 	is.True(refusal != nil)
-	is.Equal(refusal.Outcome, refuser.Unrun)
+	is.Equal(refusal.Outcome, refuser.NotRun)
 	is.Equal(refusal.Reason, "targets")
 }
--- a/entry/internal/forwarder/job.go
+++ b/entry/internal/forwarder/job.go
@@ -87,7 +87,7 @@
 		Status:  status,
 		Title:   http.StatusText(status),
 		Detail:  detail,
-		Outcome: refuser.Unrun,
+		Outcome: refuser.NotRun,
 		Retry:   retry,
 		Reason:  reason,
 	}
--- a/entry/internal/refuser/refuser.go
+++ b/entry/internal/refuser/refuser.go
@@ -22,8 +22,8 @@
 
 // The outcomes of a request without a target's answer.
 const (
-	// Unrun is said only when it is certain that no target ran the request.
-	Unrun Outcome = "not-run"
+	// NotRun is said only when it is certain that no target ran the request.
+	NotRun Outcome = "not-run"
 	// Unknown is said when it may have run, or may still run.
 	Unknown Outcome = "unknown"
 )
--- a/entry/internal/resolver/resolver.go
+++ b/entry/internal/resolver/resolver.go
@@ -119,7 +119,7 @@
 		Status:  status,
 		Title:   "look-up refused",
 		Detail:  detail,
-		Outcome: refuser.Unrun,
+		Outcome: refuser.NotRun,
 		Retry:   retry,
 	})
 }
