--- a/entry/internal/cli/cli.go
+++ b/entry/internal/cli/cli.go
@@ -212,7 +212,7 @@
 	find := &resolver.Handler{
 		Views:  p.directory,
 		Region: p.settings.Region,
-		Life:   p.settings.Answer,
+		MaxAge: p.settings.Answer,
 		Logger: p.logger,
 		Count:  func(result string) { lookups.WithLabelValues(result).Inc() },
 	}
--- a/entry/internal/resolver/resolver.go
+++ b/entry/internal/resolver/resolver.go
@@ -28,8 +28,8 @@
 type Handler struct {
 	Views  Views
 	Region string
-	// Life is how long callers may keep an answer.
-	Life   time.Duration
+	// MaxAge is how long callers may keep an answer.
+	MaxAge time.Duration
 	Logger log.Logger
 	Count  func(result string)
 }
@@ -78,10 +78,10 @@
 		h.refuse(w, now, http.StatusServiceUnavailable, "no entry instance", h.Views.RetryAt(now))
 		return
 	}
-	body := Append(make([]byte, 0, stampSize), now.Add(h.Life), region, chosen[:count])
+	body := Append(make([]byte, 0, stampSize), now.Add(h.MaxAge), region, chosen[:count])
 	header := w.Header()
 	header.Set("Content-Type", "application/json")
-	header.Set("Cache-Control", "max-age="+strconv.FormatInt(int64(h.Life/time.Second), 10))
+	header.Set("Cache-Control", "max-age="+strconv.FormatInt(int64(h.MaxAge/time.Second), 10))
 	_, _ = w.Write(body)
 	h.Count("answered")
 	_ = level.Info(h.Logger).Log("msg", "lookup", "service", service, "client", client, "region", region,
--- a/entry/internal/resolver/resolver_test.go
+++ b/entry/internal/resolver/resolver_test.go
@@ -68,7 +68,7 @@
 			Instances: chooser.New(instances, []string{"almaty", "astana"}, distance),
 			Sites:     mapper.Build([]mapper.Block{{Prefix: netip.MustParsePrefix("10.2.0.0/16"), Site: 0}}),
 		}, confirmed},
-		Region: "almaty", Life: 5 * time.Second, Logger: log.NewNopLogger(), Count: func(string) {},
+		Region: "almaty", MaxAge: 5 * time.Second, Logger: log.NewNopLogger(), Count: func(string) {},
 	}
 }
 
