--- a/entry/internal/asker/admit.go
+++ b/entry/internal/asker/admit.go
@@ -106,7 +106,7 @@
 		// The asker has a newer plan, or an older one.
 		return &wire.SpendResponse{Outcome: wire.QuotaOutcome_QUOTA_UNKNOWN}
 	}
-	v := a.admit(ctx, r.GetOrganisation(), now.Add(locator.SpendWithin))
+	v := a.admit(ctx, r.GetOrganisation(), now.Add(locator.MaxSpendWait))
 	out := &wire.SpendResponse{Outcome: outcomes[v.Outcome], Held: v.Held, Used: v.Used, Age: int64(v.Age(now))}
 	if !v.Retry.IsZero() {
 		out.Retry = int64(max(0, time.Until(v.Retry)))
--- a/entry/internal/locator/locator.go
+++ b/entry/internal/locator/locator.go
@@ -28,8 +28,8 @@
 	answerTimeout = 100 * time.Millisecond
 	// spendTimeout is the same where the other instance may have to ask a controller first; it answers within SpendWithin.
 	spendTimeout = 350 * time.Millisecond
-	// SpendWithin is how long a request of another instance waits for a part of a quota; it comes again then.
-	SpendWithin = 150 * time.Millisecond
+	// MaxSpendWait is how long a request of another instance waits for a part of a quota; it comes again then.
+	MaxSpendWait = 150 * time.Millisecond
 	// shun is how long an instance that did not answer is not asked again. Each question to it holds up a request.
 	shun = time.Second
 )
