--- a/entry/internal/forwarder/attempt.go
+++ b/entry/internal/forwarder/attempt.go
@@ -255,7 +255,7 @@
 	out.target.Succeed()
 	d.succeed(now, out.took)
 	if f.Quarantine.Succeed(now, j.fingerprint) {
-		f.LossBroadcaster.Tell(&wire.Loss{Fingerprint: j.fingerprint[:], Success: true})
+		f.LossBroadcaster.BroadcastLoss(&wire.Loss{Fingerprint: j.fingerprint[:], Success: true})
 	}
 }
 
@@ -284,7 +284,7 @@
 	}
 	run := quarantiner.Run{Target: u.Name, Incarnation: u.Incarnation}
 	if f.Quarantine.Lose(now, j.fingerprint, run) {
-		f.LossBroadcaster.Tell(&wire.Loss{
+		f.LossBroadcaster.BroadcastLoss(&wire.Loss{
 			Fingerprint: j.fingerprint[:],
 			Target:      u.Name,
 			Incarnation: u.Incarnation,
--- a/entry/internal/forwarder/forwarder.go
+++ b/entry/internal/forwarder/forwarder.go
@@ -43,7 +43,7 @@
 
 // LossBroadcaster passes losses on to the other entry instances.
 type LossBroadcaster interface {
-	Tell(l *wire.Loss)
+	BroadcastLoss(l *wire.Loss)
 }
 
 // Forwarder is the traffic service. Set the exported fields before Start.
--- a/entry/internal/forwarder/forwarder_test.go
+++ b/entry/internal/forwarder/forwarder_test.go
@@ -67,7 +67,7 @@
 func (v *fakeViews) RetryAt(now time.Time) time.Time { return now.Add(time.Second) }
 func (v *fakeViews) Hurry()                          {}
 func (v *fakeViews) SetSpare(int64)                  {}
-func (v *fakeViews) Tell(*wire.Loss)                 {}
+func (v *fakeViews) BroadcastLoss(*wire.Loss)        {}
 
 // fakeLedger grants everything and counts.
 type fakeLedger struct {
