--- a/entry/internal/broadcaster/broadcaster.go
+++ b/entry/internal/broadcaster/broadcaster.go
@@ -104,8 +104,8 @@
 	s.signal()
 }
 
-// Tell queues a loss, or a success that clears one, for the other instances.
-func (s *Broadcaster) Tell(l *wire.Loss) {
+// BroadcastLoss queues a loss, or a success that clears one, for the other instances.
+func (s *Broadcaster) BroadcastLoss(l *wire.Loss) {
 	s.mu.Lock()
 	s.losses = append(s.losses, l)
 	s.mu.Unlock()
