--- a/entry/internal/directory/heartbeat.go
+++ b/entry/internal/directory/heartbeat.go
@@ -10,8 +10,8 @@
 	"chervilrail.example/core/wire"
 )
 
-// Hurry asks for an early heartbeat, because a share was used up or something changed.
-func (d *Directory) Hurry() {
+// RequestHeartbeat asks for an early heartbeat, because a share was used up or something changed.
+func (d *Directory) RequestHeartbeat() {
 	select {
 	case d.hurry <- struct{}{}:
 	default:
@@ -164,7 +164,7 @@
 	d.number = r.GetNumber()
 	d.stale = true
 	// The next heartbeat confirms the change; operators wait for it.
-	d.Hurry()
+	d.RequestHeartbeat()
 	_ = level.Info(d.Logger).Log("msg", "catalogue in force", "number", d.number)
 	return true
 }
--- a/entry/internal/forwarder/attempt.go
+++ b/entry/internal/forwarder/attempt.go
@@ -203,7 +203,7 @@
 		capped = true
 	}
 	if capped {
-		f.Views.Hurry()
+		f.Views.RequestHeartbeat()
 	}
 	return nil, capped
 }
--- a/entry/internal/forwarder/forwarder.go
+++ b/entry/internal/forwarder/forwarder.go
@@ -31,8 +31,8 @@
 	Confirmed(now time.Time) bool
 	RetryAt(now time.Time) time.Time
 	SetSpare(n int64)
-	// Hurry asks for larger shares before the next heartbeat is due.
-	Hurry()
+	// RequestHeartbeat asks for larger shares before the next heartbeat is due.
+	RequestHeartbeat()
 }
 
 // Ledger grants the right to run what must not repeat.
--- a/entry/internal/forwarder/forwarder_test.go
+++ b/entry/internal/forwarder/forwarder_test.go
@@ -65,7 +65,7 @@
 func (v *fakeViews) View() *directory.View           { return v.view }
 func (v *fakeViews) Confirmed(time.Time) bool        { return true }
 func (v *fakeViews) RetryAt(now time.Time) time.Time { return now.Add(time.Second) }
-func (v *fakeViews) Hurry()                          {}
+func (v *fakeViews) RequestHeartbeat()               {}
 func (v *fakeViews) SetSpare(int64)                  {}
 func (v *fakeViews) BroadcastLoss(*wire.Loss)        {}
 
