--- a/entry/internal/forwarder/forwarder.go
+++ b/entry/internal/forwarder/forwarder.go
@@ -31,8 +31,8 @@
 	Confirmed(now time.Time) bool
 	RetryAt(now time.Time) time.Time
 	SetSpare(n int64)
-	// Hurry asks for larger shares before the next heartbeat is due.
-	Hurry()
+	// RequestHeartbeat asks for larger shares before the next heartbeat is due.
+	RequestHeartbeat()
 }
 
 // Ledger grants the right to run what must not repeat.
@@ -41,22 +41,22 @@
 	Settle(ctx context.Context, s *wire.Settle) error
 }
 
-// Teller passes losses on to the other entry instances.
-type Teller interface {
-	Tell(l *wire.Loss)
+// LossBroadcaster passes losses on to the other entry instances.
+type LossBroadcaster interface {
+	BroadcastLoss(l *wire.Loss)
 }
 
 // Forwarder is the traffic service. Set the exported fields before Start.
 type Forwarder struct {
-	Instance   string
-	Region     string
-	Views      Views
-	Holder     *granter.Holder
-	Ledger     Ledger
-	Teller     Teller
-	Quarantine *quarantiner.Quarantiner
-	Logger     log.Logger
-	Metrics    *Metrics
+	Instance        string
+	Region          string
+	Views           Views
+	Holder          *granter.Holder
+	Ledger          Ledger
+	LossBroadcaster LossBroadcaster
+	Quarantine      *quarantiner.Quarantiner
+	Logger          log.Logger
+	Metrics         *Metrics
 	// Sample logs one in this many routing decisions.
 	Sample int64
 
