--- a/controller/internal/exchanger/watch.go
+++ b/controller/internal/exchanger/watch.go
@@ -18,8 +18,8 @@
 	ctx context.Context, r *connect.Request[wire.WatchRequest],
 ) (*connect.Response[wire.WatchResponse], error) {
 	x.update(func(now time.Time) {
-		x.gossip.See(now, r.Msg.GetNode())
-		x.gossip.Loads(now, r.Msg.GetLoads())
+		x.gossip.ObserveInstance(now, r.Msg.GetNode())
+		x.gossip.UpdateLoads(now, r.Msg.GetLoads())
 	})
 	if r.Msg.GetFirst() {
 		if nearer := x.nearer(r.Msg.GetNode().GetRegion()); nearer != nil {
@@ -60,18 +60,18 @@
 	if r.GetRun() != x.gossip.Run {
 		counter, hosted, loaded = 0, 0, 0
 	}
-	news := x.gossip.Since(now, counter)
+	news := x.gossip.ChangesSince(now, counter)
 	out := &wire.WatchResponse{
 		Run: x.gossip.Run, Counter: x.gossip.Counter(), Linked: linked, Revision: routing.Revision,
 		Records: news.Records, Seen: news.Seen, Whole: news.Whole, Losses: news.Losses,
 	}
-	out.Hosts, out.Hosted = x.gossip.Hosts(r.GetNode().GetRegion(), hosted), x.gossip.HostsChanged()
+	out.Hosts, out.Hosted = x.gossip.HostsSince(r.GetNode().GetRegion(), hosted), x.gossip.HostsCounter()
 	out.Loads, out.Loaded = x.gossip.LoadsSince(loaded)
 	x.nameControllers(now, r.GetNode().GetRegion(), out)
 	if routing.Revision > r.GetRevision() {
 		out.Evacuated = routing.Evacuated
 		if routing.Plan.GetVersion() > r.GetVersion() {
-			out.Plan = routing.Sealed
+			out.Plan = routing.PlanWithoutKeys
 		}
 	}
 	fresh := routing.Revision > r.GetRevision() || !news.Empty() || len(out.Hosts) > 0
@@ -82,7 +82,7 @@
 func (x *Exchanger) nameControllers(now time.Time, region string, out *wire.WatchResponse) {
 	for _, m := range x.Mind.Routing().Members {
 		out.Controllers = append(out.Controllers, m.GetAddress())
-		if x.gossip.Near(now, m.GetName(), region) {
+		if x.gossip.ReachableIn(now, m.GetName(), region) {
 			out.Near = append(out.Near, m.GetAddress())
 		}
 	}
@@ -108,9 +108,9 @@
 	_ context.Context, r *connect.Request[wire.TellRequest],
 ) (*connect.Response[wire.TellResponse], error) {
 	x.update(func(now time.Time) {
-		x.gossip.See(now, r.Msg.GetNode())
-		x.gossip.Report(now, r.Msg.GetLosses(), true)
-		x.gossip.Settle(r.Msg.GetHosts())
+		x.gossip.ObserveInstance(now, r.Msg.GetNode())
+		x.gossip.ReportLosses(now, r.Msg.GetLosses(), true)
+		x.gossip.UpdateHosts(r.Msg.GetHosts())
 	})
 	return connect.NewResponse(&wire.TellResponse{}), nil
 }
@@ -119,5 +119,5 @@
 func (x *Exchanger) Entries() []*wire.Seen {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return x.gossip.Nodes(time.Now())
+	return x.gossip.Instances(time.Now())
 }
--- a/controller/internal/server/server.go
+++ b/controller/internal/server/server.go
@@ -222,11 +222,11 @@
 
 // translate gives each kind of refusal its own code and reason, so that callers never read messages.
 func translate(err error) error {
-	var leader *consenter.LeaderError
-	var unknown *consenter.UnknownError
-	var lost *consenter.LostError
+	var leader *consenter.NotLeaderError
+	var unknown *consenter.OutcomeUnknownError
+	var lost *consenter.ProposalReplacedError
 	var sequence *granter.SequenceError
-	var group *consenter.GroupError
+	var group *consenter.WrongGroupError
 	switch {
 	case errors.As(err, &leader):
 		return detail(connect.CodeFailedPrecondition, err, "leader", leader.Address)
--- a/core/gauger/gauger.go
+++ b/core/aggregator/aggregator.go
@@ -1,10 +1,10 @@
-// Package gauger tells many entry instances how busy each target is.
+// Package aggregator tells many entry instances how busy each target is.
 //
 // It answers the service with many entry instances and many targets: each instance sends one request in hundreds, so it
 // hears of a target once in many seconds and takes it for an average one in between. Some targets then hold several
 // times their slots while others idle. Each report that a target sends with an answer is passed on instead: an instance
 // collects them, its controller smooths them over all instances of the region, and the instances hear what changed.
-package gauger
+package aggregator
 
 import (
 	"time"
@@ -94,8 +94,8 @@
 	return out
 }
 
-// Fade is the weight that is left of an observation. It falls like an exponential, and is cheap.
-func Fade(age, span time.Duration) float64 {
+// Decay is the weight that is left of an observation. It falls like an exponential, and is cheap.
+func Decay(age, span time.Duration) float64 {
 	x := float64(max(0, age)) / float64(max(1, span))
 	return 1 / (1 + x + x*x/2 + x*x*x/6)
 }
--- a/core/gauger/gauger_test.go
+++ b/core/aggregator/aggregator_test.go
@@ -1,4 +1,4 @@
-package gauger
+package aggregator
 
 import (
 	"fmt"
@@ -33,7 +33,7 @@
 // hear of it once in many seconds, and together several times a second.
 func TestManyInstancesKnowABusyTarget(t *testing.T) {
 	is := is.New(t)
-	var here, other Gauge
+	var here, other LoadTable
 	var passed time.Time
 	now := start
 	for i := range 200 {
@@ -41,11 +41,11 @@
 		var c Collector
 		c.Add(Reading{Key("busy"), 3})
 		c.Add(Reading{Key(fmt.Sprint("idle", i%50)), 0.25})
-		here.See(now, c.Take(), true)
-		other.See(now, here.Near(passed), false)
+		here.Record(now, c.Take(), true)
+		other.Record(now, here.Local(passed), false)
 		passed = now
 	}
-	for _, g := range []*Gauge{&here, &other} {
+	for _, g := range []*LoadTable{&here, &other} {
 		known := map[uint32]float64{}
 		for _, r := range g.Since(0) {
 			known[r.Target] = r.PerSlot
@@ -57,7 +57,7 @@
 	t.Run("only what changed is told", func(t *testing.T) {
 		is := is.New(t)
 		before := here.Counter()
-		here.See(now, []Reading{{Key("idle7"), 4}}, true)
+		here.Record(now, []Reading{{Key("idle7"), 4}}, true)
 		news := here.Since(before)
 		is.Equal(len(news), 1)
 		is.Equal(news[0].Target, Key("idle7"))
--- a/core/placer/balancer.go
+++ b/core/placer/balancer.go
@@ -45,7 +45,7 @@
 // Move is an object's new place.
 type Move struct {
 	Object uint64
-	Place
+	Assignment
 }
 
 // Balance returns the objects that this instance moves now, of those for which it answers.
@@ -74,7 +74,7 @@
 }
 
 // question is the last question for an object, or what is known of it without one.
-func (o *assigned) question() Ask {
+func (o *assigned) question() AssignRequest {
 	ask := o.ask
 	ask.Route = o.route
 	return ask
--- a/core/placer/balancer_test.go
+++ b/core/placer/balancer_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/matryer/is"
 
-	"chervilrail.example/core/gauger"
+	"chervilrail.example/core/aggregator"
 )
 
 // crowdOne has instances answer for objects that all are at one target, which is told to be overfull while others are not.
@@ -31,7 +31,7 @@
 	now := start.Add(settleSpan)
 	for end := now.Add(span); now.Before(end); now = now.Add(balanceEvery) {
 		for _, p := range list {
-			p.Hear(now, []gauger.Reading{{Target: gauger.Key(crowded), PerSlot: load}})
+			p.ObserveLoads(now, []aggregator.Reading{{Target: aggregator.Key(crowded), PerSlot: load}})
 			for _, m := range p.Balance(now) {
 				moved++
 				if p.byName[m.Target].Region != "most" {
@@ -74,7 +74,7 @@
 		p := list[0]
 		for now := start.Add(settleSpan); now.Before(start.Add(10 * time.Second)); now = now.Add(balanceEvery) {
 			for _, s := range boards() {
-				p.Hear(now, []gauger.Reading{{Target: gauger.Key(s.Name), PerSlot: 2}})
+				p.ObserveLoads(now, []aggregator.Reading{{Target: aggregator.Key(s.Name), PerSlot: 2}})
 			}
 			is.New(t).Equal(len(p.Balance(now)), 0)
 		}
@@ -85,24 +85,24 @@
 func TestPlacesAreLearned(t *testing.T) {
 	is := is.New(t)
 	p := owner("most", boards(), 0, 2)
-	p.Own(func(uint64) bool { return false }, 0, 2)
-	object := ObjectOf("a")
-	_, known := p.Known(start, object, nil)
+	p.SetOwnership(func(uint64) bool { return false }, 0, 2)
+	object := ObjectHash("a")
+	_, known := p.Lookup(start, object, nil)
 	is.True(!known)
-	p.Learn(start, object, "most-1", "view", 2)
-	p.Learn(start, object, "most-2", "view", 1) // late news
-	place, known := p.Known(start, object, nil)
+	p.RecordAssignment(start, object, "most-1", "view", 2)
+	p.RecordAssignment(start, object, "most-2", "view", 1) // late news
+	place, known := p.Lookup(start, object, nil)
 	is.True(known)
 	is.Equal(place.Target, "most-1")
-	_, known = p.Known(start, object, []string{"few"})
+	_, known = p.Lookup(start, object, []string{"few"})
 	is.True(!known)
-	p.Learn(start, object, "gone", "view", 3)
-	_, known = p.Known(start, object, nil)
+	p.RecordAssignment(start, object, "gone", "view", 3)
+	_, known = p.Lookup(start, object, nil)
 	is.True(!known)
 	t.Run("by the next one to answer", func(t *testing.T) {
 		is := is.New(t)
-		p.Learn(start, object, "most-3", "view", 7)
-		p.Own(func(uint64) bool { return true }, 0, 1)
+		p.RecordAssignment(start, object, "most-3", "view", 7)
+		p.SetOwnership(func(uint64) bool { return true }, 0, 1)
 		is.Equal(p.Assign(start, question("a")).Target, "most-3")
 		is.Equal(len(p.assigner.own), 1)
 	})
@@ -119,13 +119,13 @@
 	is := is.New(t)
 	var specs []Spec
 	for i := range 60 {
-		specs = append(specs, Spec{Name: fmt.Sprintf("t%02d", i), Incarnation: 1, Region: "r", Zone: "z", Slots: 3, Own: 1})
+		specs = append(specs, Spec{Name: fmt.Sprintf("t%02d", i), Incarnation: 1, Region: "r", Zone: "z", Slots: 3, OwnSlots: 1})
 	}
 	counts := map[string]int{}
 	for i := range 60 {
 		p := owner("r", specs, i, 60)
 		for n := range 180 { // all but a few targets have three objects
-			p.Learn(start, uint64(n), specs[4+n%56].Name, "view", 1)
+			p.RecordAssignment(start, uint64(n), specs[4+n%56].Name, "view", 1)
 		}
 		for n := range 2 {
 			counts[p.Assign(start, question(fmt.Sprint(i, "/", n))).Target]++
@@ -148,10 +148,10 @@
 	ask := question("a")
 	ask.Hint, ask.Regions = "few-0", []string{"few"}
 	p.Assign(start, ask)
-	p.Learn(start, ObjectOf("a"), "most-1", "view", 9)
-	p.assigner.objects[ObjectOf("a")].ask = ask
+	p.RecordAssignment(start, ObjectHash("a"), "most-1", "view", 9)
+	p.assigner.objects[ObjectHash("a")].ask = ask
 	now := start.Add(10 * time.Second)
-	p.Update(now, append(specs, Spec{Name: "most-9", Incarnation: 1, Region: "most", Slots: 9, Own: 1}), 1)
+	p.Update(now, append(specs, Spec{Name: "most-9", Incarnation: 1, Region: "most", Slots: 9, OwnSlots: 1}), 1)
 	is.Equal(len(p.Balance(now)), 0)
 	is.Equal(p.byName[p.Assign(now, ask).Target].Region, "few")
 }
--- a/core/placer/overflow.go
+++ b/core/placer/overflow.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"chervilrail.example/core/gauger"
+	"chervilrail.example/core/aggregator"
 )
 
 const (
@@ -54,7 +54,7 @@
 
 // placed counts a request; away tells that it overflowed into another region.
 func (o *overflow) placed(now time.Time, away bool) {
-	kept := gauger.Fade(now.Sub(o.at), awaySpan)
+	kept := aggregator.Decay(now.Sub(o.at), awaySpan)
 	o.all, o.away, o.at = o.all*kept+1, o.away*kept, now
 	if away {
 		o.away++
@@ -63,18 +63,18 @@
 
 // open reports whether one more request may overflow into another region.
 func (o *overflow) open(now time.Time) bool {
-	kept := gauger.Fade(now.Sub(o.at), awaySpan)
+	kept := aggregator.Decay(now.Sub(o.at), awaySpan)
 	return o.away*kept+1 <= max(1, awayPart*(o.all*kept+1))
 }
 
 // beside returns a target that takes a request whose host is full: one that has the object warm, or, if the request
 // would be late at its host, the object's next one by hash.
 func (p *Placer) beside(now time.Time, t *Ticket, host *Target) *Target {
-	if t.First || now.Before(t.WarmAt) {
+	if t.FirstRun || now.Before(t.WarmAt) {
 		return nil
 	}
 	late := !t.onTime(now.Add(p.expectedWait(now, t)))
-	cutOff := now.Add(t.Cold).After(t.Deadline)
+	cutOff := now.Add(t.ColdTime).After(t.Deadline)
 	for _, target := range p.hosts.of(t.Key) {
 		if target == host || !p.mayOverflow(now, t, host, target) || p.free(now, target) < 1 {
 			continue
--- a/core/placer/overflow_test.go
+++ b/core/placer/overflow_test.go
@@ -22,7 +22,7 @@
 func newPeak() *peak {
 	specs := boards()
 	for i := range specs {
-		specs[i].Own = 0 // all slots are other instances'
+		specs[i].OwnSlots = 0 // all slots are other instances'
 	}
 	p := owner("most", specs, 0, 1)
 	w := &peak{p, start.Add(time.Minute)} // long after targets came
@@ -39,7 +39,7 @@
 		}
 		target.start(p.now)
 		load := &messenger.Load{Running: running + 1, Slots: 9}
-		target.end(p.now, Outcome{Took: coldRun, Usual: coldRun, Load: load})
+		target.end(p.now, Outcome{ResponseTime: coldRun, ExpectedTime: coldRun, Load: load})
 		for range loadParts {
 			p.spread.see(p.now, target, load)
 		}
@@ -50,7 +50,7 @@
 // ask offers a request for an object whose host is the first target of the region.
 func (p *peak) ask(object string, aim time.Duration) (Decision, bool) {
 	return p.Offer(p.now, &Ticket{
-		Key: object, Host: "most-0", Warm: 250 * time.Millisecond, Cold: coldRun, Aim: p.now.Add(aim),
+		Key: object, Host: "most-0", WarmTime: 250 * time.Millisecond, ColdTime: coldRun, SoftDeadline: p.now.Add(aim),
 		Deadline: p.now.Add(4 * time.Second), Decided: make(chan Decision, 1),
 	})
 }
@@ -93,7 +93,7 @@
 	is := is.New(t)
 	p := newPeak()
 	decision, decided := p.Offer(p.now, &Ticket{
-		Key: "object", Host: "most-0", Warm: 250 * time.Millisecond, Cold: coldRun, Aim: p.now.Add(100 * time.Millisecond),
+		Key: "object", Host: "most-0", WarmTime: 250 * time.Millisecond, ColdTime: coldRun, SoftDeadline: p.now.Add(100 * time.Millisecond),
 		Deadline: p.now.Add(coldRun / 2), Decided: make(chan Decision, 1),
 	})
 	is.True(!decided || decision.Target == nil)
--- a/core/placer/spread_test.go
+++ b/core/placer/spread_test.go
@@ -38,13 +38,13 @@
 			first = append(first, s)
 		}
 	}
-	p := &Placer{Region: "few", Zone: "few", Far: 70 * time.Millisecond}
+	p := &Placer{Region: "few", Zone: "few", InterRegionRTT: 70 * time.Millisecond}
 	p.Update(start, first, 3)
 	p.Update(start.Add(time.Second), all, 3)
 	t.Run("before", func(t *testing.T) { assertShare(t, p, "few", 0.375) })
 	t.Run("after the first request", func(t *testing.T) {
 		later := start.Add(time.Minute)
-		_, _ = p.Offer(later, &Ticket{Aim: later.Add(time.Second), Deadline: later.Add(3 * time.Second)})
+		_, _ = p.Offer(later, &Ticket{SoftDeadline: later.Add(time.Second), Deadline: later.Add(3 * time.Second)})
 		p.Update(later, first, 3)
 		assertShare(t, p, "few", 0.375)
 	})
--- a/entry/internal/carrier/gate.go
+++ b/entry/internal/dispatcher/gate.go
@@ -1,4 +1,4 @@
-package carrier
+package dispatcher
 
 import (
 	"context"
@@ -6,8 +6,8 @@
 	"sync"
 	"time"
 
+	"chervilrail.example/core/aggregator"
 	"chervilrail.example/core/budgeter"
-	"chervilrail.example/core/gauger"
 	"chervilrail.example/core/placer"
 	"chervilrail.example/core/wire"
 	"chervilrail.example/entry/internal/locator"
@@ -48,7 +48,7 @@
 	if object == "" {
 		return
 	}
-	key := placer.ObjectOf(object)
+	key := placer.ObjectHash(object)
 	if g.hints[key].target != target {
 		g.note(key, hint{target: target})
 	}
@@ -62,43 +62,43 @@
 }
 
 // confirm notes the answer of the instance that answers for an object.
-func (g *gate) confirm(now time.Time, object string, place placer.Place) {
-	if place.Target == "" || place.First || now.Before(place.WarmAt) {
+func (g *gate) confirm(now time.Time, object string, place placer.Assignment) {
+	if place.Target == "" || place.FirstRun || now.Before(place.WarmAt) {
 		return
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.note(placer.ObjectOf(object), hint{place.Target, now.Add(confirmation)})
+	g.note(placer.ObjectHash(object), hint{place.Target, now.Add(confirmation)})
 }
 
 // known is an object's place where that needs no question: as decided here, as told by the controllers, or as answered
 // lately.
-func (g *gate) known(now time.Time, object string, regions []string) (placer.Place, bool) {
+func (g *gate) known(now time.Time, object string, regions []string) (placer.Assignment, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	key := placer.ObjectOf(object)
-	if place, ok := g.place.Known(now, key, regions); ok {
+	key := placer.ObjectHash(object)
+	if place, ok := g.place.Lookup(now, key, regions); ok {
 		return place, true
 	}
 	found := g.hints[key]
-	if !now.Before(found.confirmed) || !g.place.Holds(now, found.target, regions) {
-		return placer.Place{}, false
+	if !now.Before(found.confirmed) || !g.place.Eligible(now, found.target, regions) {
+		return placer.Assignment{}, false
 	}
-	return placer.Place{Target: found.target, Reason: "recent"}, true
+	return placer.Assignment{Target: found.target, Reason: "recent"}, true
 }
 
 // learn takes an object's place as the controllers tell it.
 func (g *gate) learn(now time.Time, h *wire.Host) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.place.Learn(now, h.GetObject(), h.GetTarget(), h.GetRoute(), h.GetVersion())
+	g.place.RecordAssignment(now, h.GetObject(), h.GetTarget(), h.GetRoute(), h.GetVersion())
 }
 
 // hear takes the loads of targets as the controllers tell them.
-func (g *gate) hear(now time.Time, loads []gauger.Reading) {
+func (g *gate) hear(now time.Time, loads []aggregator.Reading) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.place.Hear(now, loads)
+	g.place.ObserveLoads(now, loads)
 }
 
 // balance returns the objects that move.
@@ -112,11 +112,11 @@
 func (g *gate) seen(object string) string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.hints[placer.ObjectOf(object)].target
+	return g.hints[placer.ObjectHash(object)].target
 }
 
 func newGate(region, zone string) *gate {
-	return &gate{place: placer.Placer{Region: region, Zone: zone, Far: far}}
+	return &gate{place: placer.Placer{Region: region, Zone: zone, InterRegionRTT: far}}
 }
 
 // follow fits the gate to a view, and returns the targets that get no more requests while some are there.
@@ -126,7 +126,7 @@
 	withdrawn := g.place.Update(now, specs, v.Entries)
 	if g.peers == nil || !slices.Equal(g.peers, v.Peers) {
 		g.peers = v.Peers
-		g.place.Own(func(object uint64) bool { return peers.Owns(v.Peers, object) }, self, len(v.Peers))
+		g.place.SetOwnership(func(object uint64) bool { return peers.Owns(v.Peers, object) }, self, len(v.Peers))
 	}
 	announce(g.place.Tick(now))
 	return withdrawn
@@ -177,11 +177,11 @@
 }
 
 // assign says where a request for an object goes that this instance answers for.
-func (g *gate) assign(now time.Time, ask placer.Ask) placer.Place {
+func (g *gate) assign(now time.Time, ask placer.AssignRequest) placer.Assignment {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if ask.Hint == "" {
-		ask.Hint = g.hints[placer.ObjectOf(ask.Object)].target
+		ask.Hint = g.hints[placer.ObjectHash(ask.Object)].target
 	}
 	return g.place.Assign(now, ask)
 }
--- a/entry/internal/carrier/job.go
+++ b/entry/internal/dispatcher/job.go
@@ -1,4 +1,4 @@
-package carrier
+package dispatcher
 
 import (
 	"io"
@@ -52,19 +52,19 @@
 	// object names what the request concerns, empty for nothing that targets keep warm.
 	object string
 	// place is where the request's object is kept warm, located how long it took to find out.
-	place   placer.Place
+	place   placer.Assignment
 	located time.Duration
 }
 
 // prepare matches and reads a request; a result other than nil ends it.
-func (c *Carrier) prepare(j *job) *result {
+func (c *Dispatcher) prepare(j *job) *result {
 	route, ok := j.view.Table.Match(j.request.Host, j.request.URL.EscapedPath())
 	if !ok {
 		out := refuse(http.StatusNotFound, "route", time.Time{})
 		return &out
 	}
 	j.route = route
-	call, err := c.Face.Call(j.request, j.started)
+	call, err := c.Codec.Call(j.request, j.started)
 	if err != nil {
 		out := refuse(http.StatusBadRequest, "header", time.Time{})
 		return &out
--- a/entry/internal/carrier/organisation_test.go
+++ b/entry/internal/dispatcher/organisation_test.go
@@ -1,4 +1,4 @@
-package carrier
+package dispatcher
 
 import (
 	"bytes"
@@ -38,7 +38,7 @@
 const secret = "s3cret"
 
 // organise makes the carrier's plan need keys: acme's is secret, bound may only be served in region q, where no target is.
-func organise(c *Carrier, m *meter) {
+func organise(c *Dispatcher, m *meter) {
 	c.Quotas = m
 	view := *c.Views.View()
 	p := plan()
@@ -58,7 +58,7 @@
 	c.Views = seen(&view)
 }
 
-func askWith(c *Carrier, path string, header http.Header) *httptest.ResponseRecorder {
+func askWith(c *Dispatcher, path string, header http.Header) *httptest.ResponseRecorder {
 	r := httptest.NewRequest(http.MethodPost, "http://h.example"+path, strings.NewReader("in"))
 	r.RequestURI = path
 	r.Header = header.Clone()
@@ -135,9 +135,9 @@
 	is.Equal(len(s.sent), 0)
 	view := *c.Views.View()
 	view.Targets = map[string][]placer.Spec{"listings": append(view.Targets["listings"], placer.Spec{
-		Name: "far", Region: "q", Zone: "y", Slots: 2, Own: 2,
+		Name: "far", Region: "q", Zone: "y", Slots: 2, OwnSlots: 2,
 	})}
-	c.Follow(&view)
+	c.ApplyView(&view)
 	is.Equal(askWith(c, "/once/1", key("bound")).Code, http.StatusOK)
 	is.Equal(s.sent[0].Header.Get(translator.HeaderTarget), "far")
 }
--- a/entry/internal/enforcer/enforcer.go
+++ b/entry/internal/enforcer/enforcer.go
@@ -124,7 +124,7 @@
 
 // keyOf returns the key that determines the owner of an organisation's part. The prefix keeps it apart from the objects
 // that instances own.
-func keyOf(organisation string) uint64 { return placer.ObjectOf("organisation/" + organisation) }
+func keyOf(organisation string) uint64 { return placer.ObjectHash("organisation/" + organisation) }
 
 func (a *Enforcer) wakeUp() {
 	select {
--- a/entry/internal/forwarder/attempt.go
+++ b/entry/internal/forwarder/attempt.go
@@ -138,7 +138,7 @@
 // shed reports a target's own word that it did not run the request.
 func shed(r *http.Response) bool {
 	return r.StatusCode == http.StatusServiceUnavailable &&
-		r.Header.Get(refuser.HeaderOutcome) == string(refuser.Unrun)
+		r.Header.Get(refuser.HeaderOutcome) == string(refuser.NotRun)
 }
 
 // attemptContext lets a request that must not repeat go on when its caller leaves: cancelled halfway it
@@ -203,7 +203,7 @@
 		capped = true
 	}
 	if capped {
-		f.Views.Hurry()
+		f.Views.RequestHeartbeat()
 	}
 	return nil, capped
 }
@@ -255,7 +255,7 @@
 	out.target.Succeed()
 	d.succeed(now, out.took)
 	if f.Quarantine.Succeed(now, j.fingerprint) {
-		f.Teller.Tell(&wire.Loss{Fingerprint: j.fingerprint[:], Success: true})
+		f.LossBroadcaster.BroadcastLoss(&wire.Loss{Fingerprint: j.fingerprint[:], Success: true})
 	}
 }
 
@@ -284,7 +284,7 @@
 	}
 	run := quarantiner.Run{Target: u.Name, Incarnation: u.Incarnation}
 	if f.Quarantine.Lose(now, j.fingerprint, run) {
-		f.Teller.Tell(&wire.Loss{
+		f.LossBroadcaster.BroadcastLoss(&wire.Loss{
 			Fingerprint: j.fingerprint[:],
 			Target:      u.Name,
 			Incarnation: u.Incarnation,
--- a/entry/internal/finder/finder_test.go
+++ b/entry/internal/resolver/resolver_test.go
@@ -1,4 +1,4 @@
-package finder
+package resolver
 
 import (
 	"encoding/json"
@@ -68,7 +68,7 @@
 			Instances: chooser.New(instances, []string{"almaty", "astana"}, distance),
 			Sites:     mapper.Build([]mapper.Block{{Prefix: netip.MustParsePrefix("10.2.0.0/16"), Site: 0}}),
 		}, confirmed},
-		Region: "almaty", Life: 5 * time.Second, Logger: log.NewNopLogger(), Count: func(string) {},
+		Region: "almaty", MaxAge: 5 * time.Second, Logger: log.NewNopLogger(), Count: func(string) {},
 	}
 }
 
@@ -92,7 +92,7 @@
 			is.NoErr(json.Unmarshal(w.Body.Bytes(), &answer))
 			is.Equal(answer.Region, region)
 			is.Equal(answer.Entries[0].Region, region)
-			is.Equal(len(answer.Entries), chooser.Answers)
+			is.Equal(len(answer.Entries), chooser.MaxAnswers)
 			is.True(answer.Deadline.After(time.Now()))
 		})
 	}
