--- a/core/quoter/ends.go
+++ b/core/quoter/ends.go
@@ -99,7 +99,7 @@
 		if ended.Before(h.until) {
 			h.until = ended
 		}
-		if until, ok := a.unreported[other]; ok && ended.Before(until) {
+		if expiry, ok := a.unreported[other]; ok && ended.Before(expiry) {
 			a.unreported[other] = ended
 		}
 	}
