--- a/core/gossiper/trail_test.go
+++ b/core/gossiper/changelog_test.go
@@ -11,31 +11,31 @@
 )
 
 // Guards against a watcher that misses a target or gets one twice because its place among the changes was sorted out.
-func TestTrailTellsEachLastChangeOnce(t *testing.T) {
+func TestChangeLogReturnsEachLatestChangeOnce(t *testing.T) {
 	is := is.New(t)
-	var trail trail
+	var changeLog changeLog
 	last := map[string]uint64{}
 	lookup := func(name string) uint64 { return last[name] }
 	for i := range uint64(5000) {
 		name := fmt.Sprint("t", i*i%37)
 		last[name] = i + 1
-		trail.add(i+1, name, lookup)
+		changeLog.add(i+1, name, lookup)
 	}
 	for _, from := range []uint64{0, 4000, 4990, 5000} {
-		told := map[string]bool{}
-		for _, name := range trail.since(from, lookup) {
-			is.True(!told[name])
-			told[name] = true
+		returned := map[string]bool{}
+		for _, name := range changeLog.since(from, lookup) {
+			is.True(!returned[name])
+			returned[name] = true
 		}
 		for name, counter := range last {
-			is.Equal(told[name], counter > from)
+			is.Equal(returned[name], counter > from)
 		}
 	}
-	is.True(len(trail.steps) < 5*minSteps)
+	is.True(len(changeLog.entries) < 5*minEntries)
 }
 
-// BenchmarkNews takes what one changed target costs a controller for one watcher.
-func BenchmarkNews(b *testing.B) {
+// BenchmarkChanges takes what one changed target costs a controller for one watcher.
+func BenchmarkChanges(b *testing.B) {
 	for _, targets := range []int{100, 1000, 10000} {
 		b.Run(fmt.Sprint(targets), func(b *testing.B) {
 			now := time.Unix(1000, 0)
--- a/core/gossiper/exchange.go
+++ b/core/gossiper/exchange.go
@@ -20,27 +20,27 @@
 func (g *Gossiper) BuildRequest(now time.Time, name string) *wire.ExchangeRequest {
 	g.init()
 	p := g.peer(name)
-	whole := p.differs && now.Sub(p.differAt) > repairAfter
-	if whole {
-		p.differAt = now
+	full := p.differs && now.Sub(p.differsSince) > repairAfter
+	if full {
+		p.differsSince = now
 	}
 	out := &wire.ExchangeRequest{From: g.Self, Run: g.Run, Counter: g.counter, Digest: g.digest, Region: g.Region}
-	if whole {
-		out.Records = g.changed(now, 0, func(*mark) bool { return true })
+	if full {
+		out.Records = g.changedRecords(now, 0, func(*targetStatus) bool { return true })
 	} else {
-		out.Records = g.changed(now, p.acked, func(m *mark) bool { return m.home })
+		out.Records = g.changedRecords(now, p.acked, func(m *targetStatus) bool { return m.direct })
 	}
-	out.Seen = g.nodes.own(now)
+	out.Seen = g.instances.connected(now)
 	for _, l := range g.losses {
-		if l.home && l.counter > p.acked {
+		if l.direct && l.counter > p.acked {
 			out.Losses = append(out.Losses, l.report)
 		}
 	}
 	out.Hosted = g.hosts.counter
-	out.Hosts = g.hosts.since(p.hosted, func(m *hostMark) bool { return m.own })
+	out.Hosts = g.hosts.since(p.ackedHosts, func(m *hostEntry) bool { return m.local })
 	if p.region == g.Region {
-		out.Loads = gauger.Encode(g.gauge.Near(p.loadedAt))
-		p.loadedAt = now
+		out.Loads = gauger.Encode(g.gauge.Near(p.loadsSentAt))
+		p.loadsSentAt = now
 	}
 	return out
 }
@@ -49,13 +49,13 @@
 func (g *Gossiper) HandleRequest(now time.Time, r *wire.ExchangeRequest) *wire.ExchangeResponse {
 	g.init()
 	for _, record := range r.GetRecords() {
-		g.learn(now, record)
+		g.mergeRecord(now, record)
 	}
 	for _, s := range r.GetSeen() {
-		g.counter = g.nodes.sight(s.GetNode(), now.Add(-time.Duration(s.GetAge())), false, g.counter)
+		g.counter = g.instances.observe(s.GetNode(), now.Add(-time.Duration(s.GetAge())), false, g.counter)
 	}
 	g.ReportLosses(now, r.GetLosses(), false)
-	g.settle(r.GetHosts(), false)
+	g.mergeHosts(r.GetHosts(), false)
 	g.gauge.See(now, gauger.Decode(r.GetLoads()), false)
 	p := g.peer(r.GetFrom())
 	p.region = r.GetRegion()
@@ -63,23 +63,23 @@
 	return &wire.ExchangeResponse{Run: r.GetRun(), Counter: r.GetCounter(), Answerer: g.Run, Hosted: r.GetHosted()}
 }
 
-func (g *Gossiper) learn(now time.Time, record *wire.Record) {
+func (g *Gossiper) mergeRecord(now time.Time, record *wire.Record) {
 	old, known := g.targets.Get(record.GetName())
 	if !g.targets.Merge(now, record) {
 		return
 	}
-	m := g.mark(record.GetName())
-	m.home = false
+	m := g.status(record.GetName())
+	m.direct = false
 	m.coldEnd = now.Add(time.Duration(record.GetCold()))
 	if !known || differ(old, record) {
-		g.change(record.GetName())
+		g.recordChange(record.GetName())
 	}
 }
 
 func (g *Gossiper) compare(now time.Time, p *peer, digest uint64) {
 	differs := digest != g.digest
 	if differs && !p.differs {
-		p.differAt = now
+		p.differsSince = now
 	}
 	p.differs = differs
 }
@@ -92,15 +92,15 @@
 		return
 	}
 	if p.run != r.GetAnswerer() {
-		fresh := p.run == 0 && p.acked == 0
+		firstContact := p.run == 0 && p.acked == 0
 		p.run = r.GetAnswerer()
-		p.acked, p.hosted = 0, 0
-		if !fresh {
+		p.acked, p.ackedHosts = 0, 0
+		if !firstContact {
 			return
 		}
 	}
 	p.acked = max(p.acked, r.GetCounter())
-	p.hosted = max(p.hosted, r.GetHosted())
+	p.ackedHosts = max(p.ackedHosts, r.GetHosted())
 	p.ackedAt = sent
 }
 
@@ -119,7 +119,7 @@
 
 // Reachable reports whether a controller answered an exchange lately.
 func (g *Gossiper) Reachable(now time.Time, name string) bool {
-	return name == g.Self || g.peers[name] != nil && now.Sub(g.peers[name].ackedAt) < linkLife
+	return name == g.Self || g.peers[name] != nil && now.Sub(g.peers[name].ackedAt) < reachableTimeout
 }
 
 // UpdateLoads takes what entry instances were told by targets.
--- a/core/gossiper/gossiper.go
+++ b/core/gossiper/gossiper.go
@@ -21,17 +21,17 @@
 const (
 	// Period is how often controllers exchange when nothing changes.
 	Period = 400 * time.Millisecond
-	// linkLife is how long an answered exchange shows that a controller is reachable: two periods and two round trips.
+	// reachableTimeout is how long an answered exchange shows that a controller is reachable: two periods and two round trips.
 	// An entry instance has to hear of a leaving target within 2.5 s, and turns away from a cut-off controller first.
-	linkLife = 1100 * time.Millisecond
+	reachableTimeout = 1100 * time.Millisecond
 	// repairAfter is how long two controllers may differ before one sends the other everything. News reaches all
 	// within a round trip; what differs for longer was lost with the controller that told it.
 	repairAfter = 700 * time.Millisecond
 	// silentAfter is how long a target may be unheard: three of its announcements and the time that one may be late.
 	silentAfter = 6 * time.Second
-	// lossLife and maxLosses bound the reports of requests that were in flight when a target died.
-	lossLife  = 2 * time.Minute
-	maxLosses = 512
+	// lossRetention and maxLosses bound the reports of requests that were in flight when a target died.
+	lossRetention = 2 * time.Minute
+	maxLosses     = 512
 )
 
 // Gossiper holds one controller's picture. Set the exported fields before use.
@@ -41,53 +41,53 @@
 	Run    uint64
 	Region string
 
-	targets registrar.Registrar
-	marks   map[string]*mark
-	trail   trail
-	nodes   nodes
-	peers   map[string]*peer
-	losses  []*loss
-	hosts   hosts
-	gauge   gauger.Gauge
+	targets   registrar.Registrar
+	statuses  map[string]*targetStatus
+	changeLog changeLog
+	instances instances
+	peers     map[string]*peer
+	losses    []*loss
+	hosts     hosts
+	gauge     gauger.Gauge
 	// counter grows with everything that a watcher should learn.
 	counter uint64
 	// digest sums up the targets' records; equal pictures have equal digests.
 	digest uint64
 }
 
-// mark is what this controller knows beyond a target's record.
-type mark struct {
+// targetStatus is what this controller knows beyond a target's record.
+type targetStatus struct {
 	changed uint64
-	// home is set while this controller is the one that hears the target.
-	home    bool
-	heardAt time.Time
-	coldEnd time.Time
-	digest  uint64
+	// direct is set while this controller is the one that hears the target.
+	direct      bool
+	announcedAt time.Time
+	coldEnd     time.Time
+	digest      uint64
 }
 
 type loss struct {
-	report  *wire.Loss
-	counter uint64
-	home    bool
-	until   time.Time
+	report    *wire.Loss
+	counter   uint64
+	direct    bool
+	expiresAt time.Time
 }
 
 // peer is another controller as seen from here.
 type peer struct {
-	region  string
-	run     uint64
-	acked   uint64
-	hosted  uint64
-	ackedAt time.Time
-	// loadedAt is when it was last told loads.
-	loadedAt time.Time
-	differs  bool
-	differAt time.Time
+	region     string
+	run        uint64
+	acked      uint64
+	ackedHosts uint64
+	ackedAt    time.Time
+	// loadsSentAt is when it was last told loads.
+	loadsSentAt  time.Time
+	differs      bool
+	differsSince time.Time
 }
 
 func (g *Gossiper) init() {
-	if g.marks == nil {
-		g.marks = map[string]*mark{}
+	if g.statuses == nil {
+		g.statuses = map[string]*targetStatus{}
 		g.peers = map[string]*peer{}
 	}
 }
@@ -103,32 +103,32 @@
 	g.init()
 	old, known := g.targets.Get(r.GetName())
 	if !g.targets.Merge(now, r) {
-		return g.Changed(r.GetName())
+		return g.LastChange(r.GetName())
 	}
-	m := g.mark(r.GetName())
-	news := !known || !m.home || differ(old, r)
-	m.home = true
-	m.heardAt = now
+	m := g.status(r.GetName())
+	mustPublish := !known || !m.direct || differ(old, r)
+	m.direct = true
+	m.announcedAt = now
 	m.coldEnd = now.Add(time.Duration(r.GetCold()))
-	if news {
-		g.change(r.GetName())
+	if mustPublish {
+		g.recordChange(r.GetName())
 	}
 	return m.changed
 }
 
-// Changed returns the count at which a target's record last changed.
-func (g *Gossiper) Changed(name string) uint64 {
-	if m, ok := g.marks[name]; ok {
+// LastChange returns the count at which a target's record last changed.
+func (g *Gossiper) LastChange(name string) uint64 {
+	if m, ok := g.statuses[name]; ok {
 		return m.changed
 	}
 	return 0
 }
 
-func (g *Gossiper) mark(name string) *mark {
-	m, ok := g.marks[name]
+func (g *Gossiper) status(name string) *targetStatus {
+	m, ok := g.statuses[name]
 	if !ok {
-		m = &mark{}
-		g.marks[name] = m
+		m = &targetStatus{}
+		g.statuses[name] = m
 	}
 	return m
 }
@@ -146,13 +146,13 @@
 	return xxhash.Sum64(data)
 }
 
-func (g *Gossiper) change(name string) {
+func (g *Gossiper) recordChange(name string) {
 	g.counter++
-	m := g.mark(name)
+	m := g.status(name)
 	m.changed = g.counter
-	g.trail.add(g.counter, name, g.Changed)
-	if g.left(name) {
-		g.hosts.forget(name)
+	g.changeLog.add(g.counter, name, g.LastChange)
+	if g.hasLeft(name) {
+		g.hosts.removeTarget(name)
 	}
 	record, _ := g.targets.Get(name)
 	sum := digestOf(record)
@@ -161,13 +161,13 @@
 }
 
 // ReportLosses takes reports of requests that were in flight when a target died.
-func (g *Gossiper) ReportLosses(now time.Time, reports []*wire.Loss, home bool) {
+func (g *Gossiper) ReportLosses(now time.Time, reports []*wire.Loss, direct bool) {
 	for _, r := range reports {
 		if slices.ContainsFunc(g.losses, func(l *loss) bool { return proto.Equal(l.report, r) }) {
 			continue
 		}
 		g.counter++
-		g.losses = append(g.losses, &loss{r, g.counter, home, now.Add(lossLife)})
+		g.losses = append(g.losses, &loss{r, g.counter, direct, now.Add(lossRetention)})
 	}
 	if extra := len(g.losses) - maxLosses; extra > 0 {
 		g.losses = slices.Delete(g.losses, 0, extra)
@@ -178,30 +178,30 @@
 // once, it is this controller that lost its links, and traffic must go on.
 func (g *Gossiper) Tick(now time.Time) {
 	g.init()
-	g.counter = g.nodes.tick(now, g.counter)
-	g.losses = slices.DeleteFunc(g.losses, func(l *loss) bool { return !now.Before(l.until) })
-	heard, quiet := 0, []string{}
-	for name, m := range g.marks {
+	g.counter = g.instances.expire(now, g.counter)
+	g.losses = slices.DeleteFunc(g.losses, func(l *loss) bool { return !now.Before(l.expiresAt) })
+	current, overdue := 0, []string{}
+	for name, m := range g.statuses {
 		record, _ := g.targets.Get(name)
-		if !m.home || record.GetSilent() || record.GetState() != wire.TargetState_TARGET_READY {
+		if !m.direct || record.GetSilent() || record.GetState() != wire.TargetState_TARGET_READY {
 			continue
 		}
-		if now.Sub(m.heardAt) < silentAfter {
-			heard++
+		if now.Sub(m.announcedAt) < silentAfter {
+			current++
 			continue
 		}
-		quiet = append(quiet, name)
+		overdue = append(overdue, name)
 	}
-	if heard <= len(quiet) {
+	if current <= len(overdue) {
 		return
 	}
-	slices.Sort(quiet)
-	for _, name := range quiet {
+	slices.Sort(overdue)
+	for _, name := range overdue {
 		record, _ := g.targets.Get(name)
 		silent := proto.CloneOf(record)
 		silent.Silent = true
 		if g.targets.Merge(now, silent) {
-			g.change(name)
+			g.recordChange(name)
 		}
 	}
 }
@@ -222,21 +222,21 @@
 
 // ChangesSince returns what a watcher lacks that has seen everything up to a counter.
 func (g *Gossiper) ChangesSince(now time.Time, counter uint64) *Changes {
-	out := &Changes{Records: g.changed(now, counter, func(*mark) bool { return true })}
+	out := &Changes{Records: g.changedRecords(now, counter, func(*targetStatus) bool { return true })}
 	for _, l := range g.losses {
 		if l.counter > counter {
 			out.Losses = append(out.Losses, l.report)
 		}
 	}
-	out.Seen, out.Whole = g.nodes.since(now, counter)
+	out.Seen, out.Whole = g.instances.since(now, counter)
 	return out
 }
 
-// changed returns the wanted records that changed after a count, oldest change first.
-func (g *Gossiper) changed(now time.Time, counter uint64, wanted func(m *mark) bool) []*wire.Record {
+// changedRecords returns the wanted records that changedRecords after a count, oldest change first.
+func (g *Gossiper) changedRecords(now time.Time, counter uint64, wanted func(m *targetStatus) bool) []*wire.Record {
 	var out []*wire.Record
-	for _, name := range g.trail.since(counter, g.Changed) {
-		m := g.marks[name]
+	for _, name := range g.changeLog.since(counter, g.LastChange) {
+		m := g.statuses[name]
 		record, ok := g.targets.Get(name)
 		if !ok || !wanted(m) {
 			continue
--- a/core/gossiper/hosts_test.go
+++ b/core/gossiper/hosts_test.go
@@ -13,8 +13,8 @@
 	return &wire.Host{Object: object, Service: "s", Target: target, Region: "r"}
 }
 
-// swap lets one controller tell another what it has.
-func swap(now time.Time, from, to *Gossiper) int {
+// exchange lets one controller tell another what it has.
+func exchange(now time.Time, from, to *Gossiper) int {
 	request := from.BuildRequest(now, to.Self)
 	from.HandleResponse(now, to.Self, to.HandleRequest(now, request))
 	return len(request.GetHosts())
@@ -33,65 +33,65 @@
 }
 
 // An entry instance tells one controller where an object is warm, and asks another one after the restart of all.
-func TestHostsReachTheOtherControllersOnce(t *testing.T) {
+func TestHostsAreSentToOtherControllersOnce(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	a, b := &Gossiper{Self: "a", Run: 1}, &Gossiper{Self: "b", Run: 2}
 	a.UpdateHosts([]*wire.Host{host(1, "t1"), host(2, "t1")})
-	is.Equal(swap(now, a, b), 2)
+	is.Equal(exchange(now, a, b), 2)
 	assertHost(t, b, 1, "t1")
-	is.Equal(swap(now, a, b), 0)
+	is.Equal(exchange(now, a, b), 0)
 	moved := host(1, "t2")
 	moved.Version = 1
 	a.UpdateHosts([]*wire.Host{moved, host(2, "t1")})
-	is.Equal(swap(now, a, b), 1) // only what changed
+	is.Equal(exchange(now, a, b), 1) // only what changed
 	assertHost(t, b, 1, "t2")
 	is.Equal(len(b.HostsSince("elsewhere", 0)), 0)
-	is.Equal(swap(now, b, a), 0) // what b was told by a controller it does not pass on
+	is.Equal(exchange(now, b, a), 0) // what b was told by a controller it does not pass on
 }
 
 // Guards against controllers that hear of two moves of an object in different orders, and tell their entry instances
 // different hosts for good.
-func TestTheOrderOfMovesDoesNotMatter(t *testing.T) {
+func TestOrderOfMovesDoesNotMatter(t *testing.T) {
 	is := is.New(t)
 	a, b := &Gossiper{Self: "a", Run: 1}, &Gossiper{Self: "b", Run: 2}
-	first, second, rival := host(1, "t3"), host(1, "t2"), host(1, "t1")
-	first.Version, second.Version, rival.Version = 1, 2, 2
-	a.UpdateHosts([]*wire.Host{first, second, rival})
-	b.UpdateHosts([]*wire.Host{rival, second, first})
+	earlier, second, concurrent := host(1, "t3"), host(1, "t2"), host(1, "t1")
+	earlier.Version, second.Version, concurrent.Version = 1, 2, 2
+	a.UpdateHosts([]*wire.Host{earlier, second, concurrent})
+	b.UpdateHosts([]*wire.Host{concurrent, second, earlier})
 	for _, g := range []*Gossiper{a, b} {
 		assertHost(t, g, 1, "t1")
 	}
-	told := a.HostsCounter()
+	before := a.HostsCounter()
 	a.UpdateHosts([]*wire.Host{second})
-	is.Equal(a.HostsCounter(), told)
-	is.Equal(len(a.HostsSince("r", told)), 0)
+	is.Equal(a.HostsCounter(), before)
+	is.Equal(len(a.HostsSince("r", before)), 0)
 }
 
 // A controller lost its disk. The others tell it everything again when they meet its new run.
-func TestNewRunIsToldAllHosts(t *testing.T) {
+func TestNewRunReceivesAllHosts(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	a, b := &Gossiper{Self: "a", Run: 1}, &Gossiper{Self: "b", Run: 2}
 	a.UpdateHosts([]*wire.Host{host(1, "t1")})
-	swap(now, a, b)
+	exchange(now, a, b)
 	empty := &Gossiper{Self: "b", Run: 3}
-	swap(now, a, empty)
-	swap(now, a, empty)
+	exchange(now, a, empty)
+	exchange(now, a, empty)
 	is.Equal(len(empty.HostsSince("r", 0)), 1)
 }
 
 // A target leaves, and an entry instance that is started later asks where the objects are. Told that they are at the target
 // that left, it would wait for that one to announce itself, and refuse their requests.
-func TestHostsOfATargetThatLeftAreForgotten(t *testing.T) {
+func TestHostsOfLeftTargetsAreRemoved(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	a, b := &Gossiper{Self: "a", Run: 1}, &Gossiper{Self: "b", Run: 2}
 	a.UpdateHosts([]*wire.Host{host(1, "t1"), host(2, "t2")})
-	swap(now, a, b)
+	exchange(now, a, b)
 	changed := a.HostsCounter()
 	a.Announce(now, record("t1", 1, 2, wire.TargetState_TARGET_LEAVING))
-	swap(now, a, b)
+	exchange(now, a, b)
 	for _, g := range []*Gossiper{a, b} {
 		is.Equal(len(g.HostsSince("r", 0)), 1)
 		assertHost(t, g, 2, "t2")
