--- a/core/gossiper/changelog_test.go
+++ b/core/gossiper/changelog_test.go
@@ -10,7 +10,7 @@
 	"chervilrail.example/core/wire"
 )
 
-// Guards against a watcher that misses a target or gets one twice because its place among the changes was sorted out.
+// Guards against a watcher that misses a target, or gets one twice, because entries were removed by compaction.
 func TestChangeLogReturnsEachLatestChangeOnce(t *testing.T) {
 	is := is.New(t)
 	var changeLog changeLog
@@ -34,7 +34,7 @@
 	is.True(len(changeLog.entries) < 5*minEntries)
 }
 
-// BenchmarkChanges takes what one changed target costs a controller for one watcher.
+// BenchmarkChanges measures what one changed target costs a controller for one watcher.
 func BenchmarkChanges(b *testing.B) {
 	for _, targets := range []int{100, 1000, 10000} {
 		b.Run(fmt.Sprint(targets), func(b *testing.B) {
--- a/core/gossiper/exchange.go
+++ b/core/gossiper/exchange.go
@@ -16,7 +16,8 @@
 	return p
 }
 
-// BuildRequest returns what to tell another controller now.
+// BuildRequest returns the request to send to another controller now. It holds the changes that the controller has not
+// acknowledged, or all records if the two digests have differed for longer than repairAfter.
 func (g *Gossiper) BuildRequest(now time.Time, name string) *wire.ExchangeRequest {
 	g.init()
 	p := g.peer(name)
@@ -45,7 +46,7 @@
 	return out
 }
 
-// HandleRequest takes what another controller tells.
+// HandleRequest merges the request of another controller and returns the response that acknowledges it.
 func (g *Gossiper) HandleRequest(now time.Time, r *wire.ExchangeRequest) *wire.ExchangeResponse {
 	g.init()
 	for _, record := range r.GetRecords() {
@@ -63,6 +64,8 @@
 	return &wire.ExchangeResponse{Run: r.GetRun(), Counter: r.GetCounter(), Answerer: g.Run, Hosted: r.GetHosted()}
 }
 
+// mergeRecord merges a record that another controller sent. If it is newer, the target no longer counts as announcing
+// itself to this controller.
 func (g *Gossiper) mergeRecord(now time.Time, record *wire.Record) {
 	old, known := g.targets.Get(record.GetName())
 	if !g.targets.Merge(now, record) {
@@ -76,6 +79,7 @@
 	}
 }
 
+// compare records whether another controller's digest differs from this one's, and since when.
 func (g *Gossiper) compare(now time.Time, p *peer, digest uint64) {
 	differs := digest != g.digest
 	if differs && !p.differs {
@@ -84,8 +88,8 @@
 	p.differs = differs
 }
 
-// HandleResponse notes another controller's answer to an exchange that was sent at a time. A new run of it has forgotten
-// everything, so it is told everything again.
+// HandleResponse processes another controller's response to a request that was sent at a given time. A changed run
+// number means that the controller has restarted and lost its state, so everything is sent to it again.
 func (g *Gossiper) HandleResponse(sent time.Time, name string, r *wire.ExchangeResponse) {
 	p := g.peer(name)
 	if r.GetRun() != g.Run {
@@ -104,12 +108,12 @@
 	p.ackedAt = sent
 }
 
-// HasAcknowledged reports whether a controller has acknowledged everything up to a counter.
+// HasAcknowledged reports whether a controller has acknowledged all changes up to a counter.
 func (g *Gossiper) HasAcknowledged(name string, counter uint64) bool {
 	return name == g.Self || g.peers[name] != nil && g.peers[name].acked >= counter
 }
 
-// ReachableIn reports whether a controller is in a region and answered an exchange lately.
+// ReachableIn reports whether a controller is in a region and has answered an exchange within reachableTimeout.
 func (g *Gossiper) ReachableIn(now time.Time, name, region string) bool {
 	if name == g.Self {
 		return region == g.Region
@@ -117,17 +121,17 @@
 	return g.Reachable(now, name) && g.peers[name].region == region
 }
 
-// Reachable reports whether a controller answered an exchange lately.
+// Reachable reports whether a controller has answered an exchange within reachableTimeout.
 func (g *Gossiper) Reachable(now time.Time, name string) bool {
 	return name == g.Self || g.peers[name] != nil && now.Sub(g.peers[name].ackedAt) < reachableTimeout
 }
 
-// UpdateLoads takes what entry instances were told by targets.
+// UpdateLoads merges the loads that targets have reported to entry instances.
 func (g *Gossiper) UpdateLoads(now time.Time, loads *wire.Loads) {
 	g.gauge.See(now, gauger.Decode(loads), true)
 }
 
-// LoadsSince returns the loads that changed after a count, and the count of changes so far.
+// LoadsSince returns the loads that changed after a counter, and the current counter of load changes.
 func (g *Gossiper) LoadsSince(counter uint64) (*wire.Loads, uint64) {
 	return gauger.Encode(g.gauge.Since(counter)), g.gauge.Counter()
 }
--- a/core/gossiper/gossiper.go
+++ b/core/gossiper/gossiper.go
@@ -1,9 +1,10 @@
-// Package gossiper keeps what the controllers know of targets and entry instances alike on all of them, in memory.
-// It is a state machine for use under one lock.
+// Package gossiper replicates what the controllers know of targets and entry instances to all controllers, in memory.
+// It is a state machine; its caller holds one lock around all calls.
 //
-// A controller that hears a target itself tells the others only what has changed; the others are told of nothing
-// else, unless a digest shows that two of them differ for longer than such news takes. So calm costs a few bytes a
-// period and controller, however many targets there are.
+// A controller sends the others only the changes of targets that announce themselves to it directly. It sends all its
+// records only when a digest shows that it has differed from another controller for longer than a change takes to
+// arrive. While nothing changes, an exchange therefore costs a few bytes per period and controller, whatever the number
+// of targets.
 package gossiper
 
 import (
@@ -19,22 +20,25 @@
 )
 
 const (
-	// Period is how often controllers exchange when nothing changes.
+	// Period is the interval of exchanges between controllers while nothing changes.
 	Period = 400 * time.Millisecond
-	// reachableTimeout is how long an answered exchange shows that a controller is reachable: two periods and two round trips.
-	// An entry instance has to hear of a leaving target within 2.5 s, and turns away from a cut-off controller first.
+	// reachableTimeout is how long after an answered exchange a controller counts as reachable: two periods and two
+	// round trips. An entry instance has to learn of a leaving target within 2.5 s, and before that has to turn to
+	// another controller if its own is cut off.
 	reachableTimeout = 1100 * time.Millisecond
-	// repairAfter is how long two controllers may differ before one sends the other everything. News reaches all
-	// within a round trip; what differs for longer was lost with the controller that told it.
+	// repairAfter is how long the digests of two controllers may differ before one sends the other all its records. A
+	// change reaches all controllers within a round trip; a difference that lasts longer comes from a change that was
+	// lost with the controller that sent it.
 	repairAfter = 700 * time.Millisecond
-	// silentAfter is how long a target may be unheard: three of its announcements and the time that one may be late.
+	// silentAfter is how long a target may go without an announcement: three announcement intervals and the time by
+	// which one may be late.
 	silentAfter = 6 * time.Second
-	// lossRetention and maxLosses bound the reports of requests that were in flight when a target died.
+	// lossRetention and maxLosses bound the reports kept of requests that were in flight when a target died.
 	lossRetention = 2 * time.Minute
 	maxLosses     = 512
 )
 
-// Gossiper holds one controller's picture. Set the exported fields before use.
+// Gossiper holds one controller's copy of the replicated state. Set the exported fields before use.
 type Gossiper struct {
 	// Self is this controller's name, Run a number that differs with each start.
 	Self   string
@@ -49,16 +53,16 @@
 	losses    []*loss
 	hosts     hosts
 	gauge     gauger.Gauge
-	// counter grows with everything that a watcher should learn.
+	// counter is incremented with every change that watchers have to receive.
 	counter uint64
-	// digest sums up the targets' records; equal pictures have equal digests.
+	// digest is the XOR of the digests of all targets' records; equal sets of records have equal digests.
 	digest uint64
 }
 
-// targetStatus is what this controller knows beyond a target's record.
+// targetStatus is what this controller keeps for a target besides its record.
 type targetStatus struct {
 	changed uint64
-	// direct is set while this controller is the one that hears the target.
+	// direct is set while the target announces itself to this controller.
 	direct      bool
 	announcedAt time.Time
 	coldEnd     time.Time
@@ -72,16 +76,17 @@
 	expiresAt time.Time
 }
 
-// peer is another controller as seen from here.
+// peer is the state kept for another controller.
 type peer struct {
 	region     string
 	run        uint64
 	acked      uint64
 	ackedHosts uint64
 	ackedAt    time.Time
-	// loadsSentAt is when it was last told loads.
+	// loadsSentAt is when loads were last sent to it.
 	loadsSentAt  time.Time
 	differs      bool
+	// differsSince is when the digests began to differ, or when all records were last sent for that reason.
 	differsSince time.Time
 }
 
@@ -92,13 +97,14 @@
 	}
 }
 
-// Counter returns the count of changes so far.
+// Counter returns the current change counter.
 func (g *Gossiper) Counter() uint64 { return g.counter }
 
 // Target returns the newest record of a target.
 func (g *Gossiper) Target(name string) (*wire.Record, bool) { return g.targets.Get(name) }
 
-// Announce takes a target's own announcement and returns the change that has to reach the others before it binds.
+// Announce merges a target's own announcement. It returns the change counter that the other controllers have to
+// acknowledge before the announcement is binding.
 func (g *Gossiper) Announce(now time.Time, r *wire.Record) uint64 {
 	g.init()
 	old, known := g.targets.Get(r.GetName())
@@ -116,7 +122,7 @@
 	return m.changed
 }
 
-// LastChange returns the count at which a target's record last changed.
+// LastChange returns the counter at which a target's record last changed, or 0 if the target is unknown.
 func (g *Gossiper) LastChange(name string) uint64 {
 	if m, ok := g.statuses[name]; ok {
 		return m.changed
@@ -133,7 +139,7 @@
 	return m
 }
 
-// differ ignores what changes with every announcement.
+// differ compares two records without the fields that change with every announcement.
 func differ(a, b *wire.Record) bool { return digestOf(a) != digestOf(b) }
 
 func digestOf(r *wire.Record) uint64 {
@@ -160,7 +166,7 @@
 	m.digest = sum
 }
 
-// ReportLosses takes reports of requests that were in flight when a target died.
+// ReportLosses merges reports of requests that were in flight when a target died.
 func (g *Gossiper) ReportLosses(now time.Time, reports []*wire.Loss, direct bool) {
 	for _, r := range reports {
 		if slices.ContainsFunc(g.losses, func(l *loss) bool { return proto.Equal(l.report, r) }) {
@@ -174,8 +180,9 @@
 	}
 }
 
-// Tick drops what has timed out. A target is called silent only while others are heard here: when all fall silent at
-// once, it is this controller that lost its links, and traffic must go on.
+// Tick drops what has expired and marks targets that stopped announcing themselves here as silent. It marks none unless
+// more targets announce in time than are overdue: when most of them stop at once, this controller has lost its own
+// connections, and traffic must go on.
 func (g *Gossiper) Tick(now time.Time) {
 	g.init()
 	g.counter = g.instances.expire(now, g.counter)
@@ -206,21 +213,21 @@
 	}
 }
 
-// Changes is what a watcher lacks.
+// Changes holds what a watcher has not received yet.
 type Changes struct {
 	Records []*wire.Record
-	// Seen are the entry instances that changed, those that are gone marked lost, or all if Whole is set.
+	// Seen are the entry instances that changed, with removed ones marked lost, or all of them if Whole is set.
 	Seen   []*wire.Seen
 	Whole  bool
 	Losses []*wire.Loss
 }
 
-// Empty reports whether there is nothing new.
+// Empty reports whether there are no changes.
 func (n *Changes) Empty() bool {
 	return len(n.Records)+len(n.Seen)+len(n.Losses) == 0
 }
 
-// ChangesSince returns what a watcher lacks that has seen everything up to a counter.
+// ChangesSince returns the changes after a counter, for a watcher that has received everything up to it.
 func (g *Gossiper) ChangesSince(now time.Time, counter uint64) *Changes {
 	out := &Changes{Records: g.changedRecords(now, counter, func(*targetStatus) bool { return true })}
 	for _, l := range g.losses {
@@ -232,7 +239,7 @@
 	return out
 }
 
-// changedRecords returns the wanted records that changedRecords after a count, oldest change first.
+// changedRecords returns the wanted records that changed after a counter, oldest change first.
 func (g *Gossiper) changedRecords(now time.Time, counter uint64, wanted func(m *targetStatus) bool) []*wire.Record {
 	var out []*wire.Record
 	for _, name := range g.changeLog.since(counter, g.LastChange) {
--- a/core/gossiper/gossiper_test.go
+++ b/core/gossiper/gossiper_test.go
@@ -10,7 +10,7 @@
 	"chervilrail.example/core/wire"
 )
 
-// cluster is a few controllers whose messages the test carries.
+// cluster is a set of controllers whose messages the test delivers.
 type cluster struct {
 	now          time.Time
 	controllers  []*Gossiper
@@ -25,7 +25,7 @@
 	return r
 }
 
-// exchangeAll lets every pair that can reach each other exchange once, and returns how many records were sent.
+// exchangeAll advances the clock, lets every connected pair exchange once, and returns how many records were sent.
 func (r *cluster) exchangeAll(d time.Duration) int {
 	r.now = r.now.Add(d)
 	sent := 0
@@ -60,9 +60,9 @@
 	return record.GetState()
 }
 
-// A target tells one controller that it leaves. Two more have it in memory, so it is acknowledged; then the one that
-// took it is cut off. The rest must hear of it from the two, or requests go on to reach a target that was told it
-// gets none.
+// A target announces to one controller that it leaves; two others receive it, so it is acknowledged. Then the receiving
+// controller is cut off. The remaining controllers must learn of it from those two, or requests still reach a target
+// that was assured it receives none.
 func TestLeavingSurvivesLossOfTheReceivingController(t *testing.T) {
 	is := is.New(t)
 	r := newCluster(5)
@@ -81,8 +81,8 @@
 	is.Equal(r.state(4, "t1"), leaving)
 }
 
-// Hundreds of targets announce themselves every second. Passed on each time, this alone would fill the small
-// controllers' time; only what changes is told, and only by the controller that heard it.
+// Hundreds of targets announce themselves every second. Forwarding each announcement would overload the small
+// controllers, so only changes are sent, and only by the controller that received them.
 func TestUnchangedAnnouncementsAreNotForwarded(t *testing.T) {
 	is := is.New(t)
 	r := newCluster(5)
@@ -99,8 +99,8 @@
 	}
 }
 
-// A controller restarts and has forgotten everything. It must be told again, or entry instances that turn to it would
-// never hear of the targets.
+// A restarted controller has lost its state. Unless all records are sent to it again, entry instances that turn to it
+// never learn of the targets.
 func TestRestartedControllerReceivesAllRecords(t *testing.T) {
 	is := is.New(t)
 	r := newCluster(3)
@@ -115,8 +115,8 @@
 	is.Equal(r.state(2, "t2"), leaving)
 }
 
-// A target stops announcing itself: it is out of use within seconds on all controllers. When all targets fall silent
-// at once it is the controller that lost its links, and traffic must go on.
+// A target that stops announcing itself goes out of use within seconds on all controllers. When all targets stop at
+// once, the controller has lost its own connections, and traffic must go on.
 func TestSilentTargets(t *testing.T) {
 	announce := func(r *cluster, names []string, seq uint64) {
 		for _, name := range names {
@@ -154,7 +154,7 @@
 	})
 }
 
-// A target turns to another controller. The former one must not call it silent for that.
+// A target that announces itself to another controller must not be marked silent by the former one.
 func TestTargetThatMovesIsNotSilent(t *testing.T) {
 	is := is.New(t)
 	r := newCluster(3)
@@ -172,7 +172,7 @@
 	}
 }
 
-// An entry instance dies. Callers must not be sent to it for longer than a few seconds, whichever controller they ask.
+// Callers must not be sent to a stopped entry instance for longer than a few seconds, whichever controller they ask.
 func TestStoppedEntryInstanceExpires(t *testing.T) {
 	is := is.New(t)
 	r := newCluster(3)
--- a/core/gossiper/hosts.go
+++ b/core/gossiper/hosts.go
@@ -9,13 +9,14 @@
 	"chervilrail.example/core/wire"
 )
 
-// maxHosts bounds the remembered hosts. Beyond it, those that changed longest ago go.
+// maxHosts bounds the number of hosts kept. Beyond it, those that changed longest ago are evicted.
 const maxHosts = 1 << 16
 
-// hosts remembers at which target each object is kept warm. It answers the restart of all entry instances at once: they
-// come back without memory while the targets still have their objects warm, and would run each one cold elsewhere.
+// hosts records at which target each object is kept warm. When all entry instances restart at once, they lose their own
+// records of it while the targets still hold their objects warm; without this copy, each object would be run cold at
+// another target.
 type hosts struct {
-	// known holds them by the names that keyOf gives.
+	// known holds the hosts by the keys that keyOf returns.
 	known     map[string]*hostEntry
 	changeLog changeLog
 	counter   uint64
@@ -24,14 +25,15 @@
 type hostEntry struct {
 	host    *wire.Host
 	changed uint64
-	// local is set for what entry instances told this controller itself.
+	// local is set for hosts that entry instances reported to this controller or that were read from its disk, as
+	// opposed to those received from other controllers.
 	local bool
 }
 
-// keyOf names an object of a region.
+// keyOf returns the key of an object in a region.
 func keyOf(h *wire.Host) string { return strconv.FormatUint(h.GetObject(), 16) + "/" + h.GetRegion() }
 
-// merge takes hosts; own tells that they came from entry instances or from the disk.
+// merge adds the hosts that supersede the known ones; local is set for those from entry instances or from the disk.
 func (h *hosts) merge(list []*wire.Host, local bool) {
 	if h.known == nil {
 		h.known = map[string]*hostEntry{}
@@ -52,7 +54,7 @@
 	return placer.Supersedes(next.GetVersion(), next.GetTarget(), old.GetVersion(), old.GetTarget())
 }
 
-// lastChange tells the count at which a host changed lastChange, zero if it is not known.
+// lastChange returns the counter at which a host last changed, or 0 if it is not known.
 func (h *hosts) lastChange(key string) uint64 {
 	if m, ok := h.known[key]; ok {
 		return m.changed
@@ -72,7 +74,7 @@
 	}
 }
 
-// since returns the wanted hosts that changed after a count, oldest change first.
+// since returns the wanted hosts that changed after a counter, oldest change first.
 func (h *hosts) since(counter uint64, wanted func(m *hostEntry) bool) []*wire.Host {
 	var out []*wire.Host
 	for _, key := range h.changeLog.since(counter, h.lastChange) {
@@ -83,7 +85,7 @@
 	return out
 }
 
-// removeTarget drops the hosts at a target.
+// removeTarget removes the hosts at a target.
 func (h *hosts) removeTarget(target string) {
 	before := len(h.known)
 	maps.DeleteFunc(h.known, func(_ string, m *hostEntry) bool { return m.host.GetTarget() == target })
@@ -92,25 +94,26 @@
 	}
 }
 
-// UpdateHosts takes the hosts that an entry instance tells, or that were on the disk.
+// UpdateHosts merges the hosts that an entry instance reported, or that were read from the disk.
 func (g *Gossiper) UpdateHosts(list []*wire.Host) { g.mergeHosts(list, true) }
 
-// mergeHosts takes hosts, but for those at targets that have left: an entry instance that is told such a host after a start
-// waits for the target to announce itself, and refuses the object's requests meanwhile.
+// mergeHosts merges hosts, except those at targets that have left: an entry instance that receives such a host after a
+// start waits for the target to announce itself, and refuses the object's requests meanwhile.
 func (g *Gossiper) mergeHosts(list []*wire.Host, local bool) {
 	g.hosts.merge(slices.DeleteFunc(slices.Clone(list), func(h *wire.Host) bool { return g.hasLeft(h.GetTarget()) }), local)
 }
 
-// hasLeft reports whether a target is known to have hasLeft, or to be about to.
+// hasLeft reports whether a target is known to be leaving or to have left.
 func (g *Gossiper) hasLeft(target string) bool {
 	record, ok := g.targets.Get(target)
 	return ok && record.GetState() != wire.TargetState_TARGET_READY
 }
 
-// HostsSince returns the hosts of a region that changed after a count, of all regions for an empty one.
+// HostsSince returns the hosts of a region that changed after a counter, or those of all regions if the region is
+// empty.
 func (g *Gossiper) HostsSince(region string, counter uint64) []*wire.Host {
 	return g.hosts.since(counter, func(m *hostEntry) bool { return region == "" || m.host.GetRegion() == region })
 }
 
-// HostsCounter counts the changes of hosts so far.
+// HostsCounter returns the current counter of host changes.
 func (g *Gossiper) HostsCounter() uint64 { return g.hosts.counter }
--- a/core/gossiper/hosts_test.go
+++ b/core/gossiper/hosts_test.go
@@ -13,7 +13,7 @@
 	return &wire.Host{Object: object, Service: "s", Target: target, Region: "r"}
 }
 
-// exchange lets one controller tell another what it has.
+// exchange sends one request from a controller to another and returns the number of hosts in it.
 func exchange(now time.Time, from, to *Gossiper) int {
 	request := from.BuildRequest(now, to.Self)
 	from.HandleResponse(now, to.Self, to.HandleRequest(now, request))
@@ -32,7 +32,7 @@
 	is.Fail()
 }
 
-// An entry instance tells one controller where an object is warm, and asks another one after the restart of all.
+// An entry instance reports to one controller where an object is warm, and asks another one after all have restarted.
 func TestHostsAreSentToOtherControllersOnce(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
@@ -47,28 +47,28 @@
 	is.Equal(exchange(now, a, b), 1) // only what changed
 	assertHost(t, b, 1, "t2")
 	is.Equal(len(b.HostsSince("elsewhere", 0)), 0)
-	is.Equal(exchange(now, b, a), 0) // what b was told by a controller it does not pass on
+	is.Equal(exchange(now, b, a), 0) // b does not forward what another controller sent it
 }
 
-// Guards against controllers that hear of two moves of an object in different orders, and tell their entry instances
-// different hosts for good.
+// Guards against controllers that receive two moves of an object in different orders, and send their entry instances
+// different hosts permanently.
 func TestOrderOfMovesDoesNotMatter(t *testing.T) {
 	is := is.New(t)
 	a, b := &Gossiper{Self: "a", Run: 1}, &Gossiper{Self: "b", Run: 2}
-	earlier, second, concurrent := host(1, "t3"), host(1, "t2"), host(1, "t1")
-	earlier.Version, second.Version, concurrent.Version = 1, 2, 2
-	a.UpdateHosts([]*wire.Host{earlier, second, concurrent})
-	b.UpdateHosts([]*wire.Host{concurrent, second, earlier})
+	earlier, later, concurrent := host(1, "t3"), host(1, "t2"), host(1, "t1")
+	earlier.Version, later.Version, concurrent.Version = 1, 2, 2
+	a.UpdateHosts([]*wire.Host{earlier, later, concurrent})
+	b.UpdateHosts([]*wire.Host{concurrent, later, earlier})
 	for _, g := range []*Gossiper{a, b} {
 		assertHost(t, g, 1, "t1")
 	}
 	before := a.HostsCounter()
-	a.UpdateHosts([]*wire.Host{second})
+	a.UpdateHosts([]*wire.Host{later})
 	is.Equal(a.HostsCounter(), before)
 	is.Equal(len(a.HostsSince("r", before)), 0)
 }
 
-// A controller lost its disk. The others tell it everything again when they meet its new run.
+// A controller lost its disk. The others send it everything again once they detect its new run.
 func TestNewRunReceivesAllHosts(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
@@ -81,8 +81,8 @@
 	is.Equal(len(empty.HostsSince("r", 0)), 1)
 }
 
-// A target leaves, and an entry instance that is started later asks where the objects are. Told that they are at the target
-// that left, it would wait for that one to announce itself, and refuse their requests.
+// A target leaves, and an entry instance that starts later asks where the objects are. If it received the target that
+// left, it would wait for that target to announce itself, and refuse the objects' requests.
 func TestHostsOfLeftTargetsAreRemoved(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
@@ -96,20 +96,21 @@
 		is.Equal(len(g.HostsSince("r", 0)), 1)
 		assertHost(t, g, 2, "t2")
 	}
-	is.True(a.HostsCounter() > changed) // the file is written anew
-	t.Run("also if they are told late", func(t *testing.T) {
+	is.True(a.HostsCounter() > changed) // so that the file is rewritten
+	t.Run("also when reported late", func(t *testing.T) {
 		is := is.New(t)
 		a.UpdateHosts([]*wire.Host{host(3, "t1")})
 		is.Equal(len(a.HostsSince("r", 0)), 1)
 	})
-	t.Run("but not those of its next run", func(t *testing.T) {
+	t.Run("but not those of its next incarnation", func(t *testing.T) {
 		a.Announce(now, record("t1", 2, 1, ready))
 		a.UpdateHosts([]*wire.Host{host(3, "t1")})
 		assertHost(t, a, 3, "t1")
 	})
 }
 
-// Objects come and go for months. The oldest hosts make room; without a bound they would fill the controller's memory.
+// Objects come and go for months. Without a bound, their hosts would fill the controller's memory; the oldest are
+// evicted.
 func TestHostsAreBounded(t *testing.T) {
 	is := is.New(t)
 	g := &Gossiper{Self: "a", Run: 1}
--- a/core/gossiper/instances.go
+++ b/core/gossiper/instances.go
@@ -11,40 +11,41 @@
 )
 
 const (
-	// instanceTimeout is how long an entry instance counts after it was last heard; it asks at least every second.
+	// instanceTimeout is how long an entry instance counts as live after it was last observed; it calls at least every
+	// second.
 	instanceTimeout = 3 * time.Second
-	// maxRemoved is how many entry instances that are gone can still be told as a change. A watcher that missed more
-	// gets the whole list.
+	// maxRemoved is how many removed entry instances are kept, so that their removal can be sent as a change. A watcher
+	// that has missed more receives the full list.
 	maxRemoved = 128
 )
 
-// observation is an entry instance as last heard.
+// observation is an entry instance as last observed.
 type observation struct {
 	instance   *wire.Node
 	observedAt time.Time
 	direct     bool
-	// changed is the count at which it last changed.
+	// changed is the counter at which it last changed.
 	changed uint64
 }
 
-// removal is an entry instance that is heard no more.
+// removal is an entry instance that has expired.
 type removal struct {
 	name    string
 	changed uint64
 }
 
-// instances keeps the entry instances. Watchers are told of changes only: with a hundred entry instances, the list each time
-// one of them stops or starts would be most of what their links carry.
+// instances tracks the entry instances. Watchers receive changes only: with a hundred entry instances, the full list
+// each time one of them stops or starts would be most of the traffic on the watchers' links.
 type instances struct {
 	active  map[string]*observation
 	removed []removal
-	// changeLog lists the changes of those in seen.
+	// changeLog lists the changes of those in active.
 	changeLog changeLog
-	// evictedUpTo is the count of the newest change that is no longer in gone.
+	// evictedUpTo is the counter of the newest removal that is no longer in removed.
 	evictedUpTo uint64
 }
 
-// observe notes an instance as heard at a time, and returns the count of changes.
+// observe records that an instance was observed at a time, and returns the change counter.
 func (n *instances) observe(instance *wire.Node, at time.Time, direct bool, counter uint64) uint64 {
 	if n.active == nil {
 		n.active = map[string]*observation{}
@@ -64,7 +65,7 @@
 	return next.changed
 }
 
-// lastChange tells the count at which an instance that is heard changed lastChange, zero for others.
+// lastChange returns the counter at which an active instance last changed, or 0 for others.
 func (n *instances) lastChange(name string) uint64 {
 	if s, ok := n.active[name]; ok {
 		return s.changed
@@ -72,7 +73,7 @@
 	return 0
 }
 
-// expire drops what was not heard for long, and returns the count of changes.
+// expire removes the instances not observed within instanceTimeout, and returns the change counter.
 func (n *instances) expire(now time.Time, counter uint64) uint64 {
 	for _, name := range slices.Sorted(maps.Keys(n.active)) {
 		if now.Sub(n.active[name].observedAt) <= instanceTimeout {
@@ -89,7 +90,7 @@
 	return counter
 }
 
-// live returns the instances heard lately, by name.
+// live returns the instances observed within instanceTimeout, sorted by name.
 func (n *instances) live(now time.Time) []*wire.Seen {
 	var out []*wire.Seen
 	for _, name := range slices.Sorted(maps.Keys(n.active)) {
@@ -100,14 +101,14 @@
 	return out
 }
 
-// since returns what changed after a count, or all with true where that is not known.
+// since returns the changes after a counter, or the full list and true if those are no longer all known.
 func (n *instances) since(now time.Time, counter uint64) ([]*wire.Seen, bool) {
 	if counter == 0 || counter < n.evictedUpTo {
 		return n.live(now), true
 	}
 	var out []*wire.Seen
 	for _, g := range n.removed {
-		if _, back := n.active[g.name]; g.changed > counter && !back {
+		if _, activeAgain := n.active[g.name]; g.changed > counter && !activeAgain {
 			out = append(out, &wire.Seen{Node: &wire.Node{Name: g.name, Lost: true}})
 		}
 	}
@@ -117,7 +118,7 @@
 	return out, false
 }
 
-// connected returns the instances that call here.
+// connected returns the instances that call this controller directly.
 func (n *instances) connected(now time.Time) []*wire.Seen {
 	var out []*wire.Seen
 	for _, s := range n.active {
@@ -128,11 +129,11 @@
 	return out
 }
 
-// ObserveInstance notes an entry instance's own call.
+// ObserveInstance records a call of an entry instance to this controller.
 func (g *Gossiper) ObserveInstance(now time.Time, n *wire.Node) {
 	g.init()
 	g.counter = g.instances.observe(n, now, true, g.counter)
 }
 
-// Instances returns the entry instances heard lately, by name.
+// Instances returns the entry instances observed by any controller within instanceTimeout, sorted by name.
 func (g *Gossiper) Instances(now time.Time) []*wire.Seen { return g.instances.live(now) }
--- a/core/gossiper/instances_test.go
+++ b/core/gossiper/instances_test.go
@@ -17,7 +17,7 @@
 	}
 }
 
-// observeInstances lets entry instances call the first controller, and all controllers learn of them.
+// observeInstances has entry instances call the first controller until all controllers have received them.
 func observeInstances(r *cluster, count int) {
 	for range 2 {
 		for i := range count {
@@ -27,8 +27,8 @@
 	}
 }
 
-// Eighty entry instances watch, and one of them stops. Told the whole list each, their links, which are narrow, would
-// carry little else on a day with many restarts, and changes of the plan would come late.
+// One of eighty watching entry instances stops. If each received the full list, their narrow links would carry little
+// else on a day with many restarts, and changes of the plan would arrive late.
 func TestWatchersReceiveOnlyChangedInstances(t *testing.T) {
 	t.Run("leaving", func(t *testing.T) {
 		is := is.New(t)
@@ -57,15 +57,15 @@
 			}
 			r.exchangeAll(Period)
 		}
-		news := r.controllers[1].ChangesSince(r.now, at)
-		is.Equal(len(news.Seen), 1)
-		is.True(news.Seen[0].GetNode().GetLost())
-		is.Equal(news.Seen[0].GetNode().GetName(), instance(7).GetName())
+		changes := r.controllers[1].ChangesSince(r.now, at)
+		is.Equal(len(changes.Seen), 1)
+		is.True(changes.Seen[0].GetNode().GetLost())
+		is.Equal(changes.Seen[0].GetNode().GetName(), instance(7).GetName())
 	})
 }
 
-// A watcher was away while more entry instances went than are remembered. A list of changes would leave dead ones in its
-// picture for ever; it gets the whole list.
+// A watcher was disconnected while more entry instances were removed than are kept. A list of changes would leave
+// stopped ones in its state permanently, so it receives the full list.
 func TestWatcherFarBehindReceivesFullList(t *testing.T) {
 	is := is.New(t)
 	g := newCluster(1).controllers[0]
@@ -78,7 +78,7 @@
 	now = now.Add(2 * instanceTimeout)
 	g.ObserveInstance(now, instance(0))
 	g.Tick(now)
-	news := g.ChangesSince(now, at)
-	is.True(news.Whole)
-	is.Equal(len(news.Seen), 1)
+	changes := g.ChangesSince(now, at)
+	is.True(changes.Whole)
+	is.Equal(len(changes.Seen), 1)
 }
