--- a/core/gossiper/gossiper.go
+++ b/core/gossiper/gossiper.go
@@ -84,8 +84,8 @@
 	ackedHosts uint64
 	ackedAt    time.Time
 	// loadsSentAt is when loads were last sent to it.
-	loadsSentAt  time.Time
-	differs      bool
+	loadsSentAt time.Time
+	differs     bool
 	// differsSince is when the digests began to differ, or when all records were last sent for that reason.
 	differsSince time.Time
 }
