--- a/controller/internal/consenter/consenter.go
+++ b/controller/internal/consenter/consenter.go
@@ -135,11 +135,11 @@
 
 func (c *Consenter) recover(now time.Time, recovered *storer.Recovered) {
 	c.replica = replicator.Replica{
-		Group:  recovered.Identity.GetGroup(),
-		Self:   c.Member,
-		Timing: c.Timing,
-		Random: rand.New(rand.NewPCG(c.Member.GetIncarnation(), uint64(now.UnixNano()))),
-		Seats:  c.MaxVoters,
+		Group:     recovered.Identity.GetGroup(),
+		Self:      c.Member,
+		Timing:    c.Timing,
+		Random:    rand.New(rand.NewPCG(c.Member.GetIncarnation(), uint64(now.UnixNano()))),
+		MaxVoters: c.MaxVoters,
 	}
 	c.replica.Start(now, recovered.Vote, recovered.Snapshot, recovered.Entries)
 	_ = level.Info(c.Logger).Log("msg", "recovered", "incarnation", c.Member.GetIncarnation(),
--- a/controller/internal/consenter/events.go
+++ b/controller/internal/consenter/events.go
@@ -102,7 +102,7 @@
 		Limits: c.limitStatus(now),
 		Leads:  c.leads(now),
 	}
-	out.Settled = out.GetLeads() && now.Sub(c.replica.LeadSince()) > c.Lease+c.Lease/leaseMarginParts
+	out.Settled = out.GetLeads() && now.Sub(c.replica.LeaderSince()) > c.Lease+c.Lease/leaseMarginParts
 	for _, m := range c.replica.Members() {
 		match, recent := c.replica.Match(now, m)
 		out.Replicas = append(out.Replicas, &wire.ReplicaStatus{
--- a/controller/internal/consenter/loop.go
+++ b/controller/internal/consenter/loop.go
@@ -92,7 +92,7 @@
 		return err
 	}
 	if n := len(ready.Entries); n > 0 {
-		c.replica.Saved(ready.Entries[n-1].GetIndex())
+		c.replica.MarkSaved(ready.Entries[n-1].GetIndex())
 	}
 	return nil
 }
--- a/core/replicator/election.go
+++ b/core/replicator/election.go
@@ -11,16 +11,16 @@
 func (r *Replica) campaign(now time.Time, role Role) {
 	r.role = role
 	r.leader = nil
-	r.votes = map[key]bool{keyOf(r.Self): true}
+	r.votes = map[memberID]bool{idOf(r.Self): true}
 	kind := wire.MessageKind_MESSAGE_PREVOTE
 	if role == Candidate {
 		kind = wire.MessageKind_MESSAGE_VOTE
 		r.term++
-		r.choice = r.Self
-		r.dirty = true
+		r.votedFor = r.Self
+		r.voteChanged = true
 	}
 	for _, m := range r.voters() {
-		if keyOf(m) == keyOf(r.Self) {
+		if idOf(m) == idOf(r.Self) {
 			continue
 		}
 		r.send(m, &wire.Message{
@@ -43,7 +43,7 @@
 func (r *Replica) countVotes(now time.Time) {
 	granted := 0
 	for _, m := range r.voters() {
-		if r.votes[keyOf(m)] {
+		if r.votes[idOf(m)] {
 			granted++
 		}
 	}
@@ -62,10 +62,10 @@
 func (r *Replica) becomeLeader(now time.Time) {
 	r.role = Leader
 	r.leader = r.Self
-	r.leadSince = now
+	r.leaderSince = now
 	r.rounds = map[uint64]time.Time{}
-	r.peers = map[key]*progress{}
-	r.joiners = map[key]*wire.Member{}
+	r.peers = map[memberID]*progress{}
+	r.joiners = map[memberID]*wire.Member{}
 	r.syncPeers(now)
 	e := r.appendOwn(wire.EntryKind_ENTRY_EMPTY, nil)
 	r.termStart = e.GetIndex()
@@ -74,11 +74,11 @@
 
 // syncPeers keeps one progress per other member of the newest replica set.
 func (r *Replica) syncPeers(now time.Time) {
-	present := map[key]bool{}
+	present := map[memberID]bool{}
 	for _, m := range r.log.config().GetMembers() {
-		k := keyOf(m)
+		k := idOf(m)
 		present[k] = true
-		if k == keyOf(r.Self) {
+		if k == idOf(r.Self) {
 			continue
 		}
 		if p, ok := r.peers[k]; ok {
@@ -97,13 +97,13 @@
 func (r *Replica) becomeFollower(now time.Time, term uint64, leader *wire.Member) {
 	if term > r.term {
 		r.term = term
-		r.choice = nil
-		r.dirty = true
+		r.votedFor = nil
+		r.voteChanged = true
 	}
 	r.role = Follower
 	r.leader = leader
 	r.peers = nil
-	r.resetElection(now)
+	r.resetElectionTimer(now)
 }
 
 // leaderAlive reports whether some leader may still hold a lease that this replica confirmed.
@@ -111,19 +111,19 @@
 	if r.role == Leader {
 		return r.LeaseDeadline(now).After(now)
 	}
-	return now.Before(r.quietUntil)
+	return now.Before(r.noVoteUntil)
 }
 
 func (r *Replica) upToDate(m *wire.Message) bool {
-	mine := r.log.term(r.log.last())
-	if m.GetLogterm() != mine {
-		return m.GetLogterm() > mine
+	lastTerm := r.log.term(r.log.last())
+	if m.GetLogterm() != lastTerm {
+		return m.GetLogterm() > lastTerm
 	}
 	return m.GetIndex() >= r.log.last()
 }
 
 func (r *Replica) handlePrevote(now time.Time, m *wire.Message) {
-	r.noteOutsider(m.GetFrom())
+	r.handleNonMember(m.GetFrom())
 	grant := m.GetTerm() > r.term && r.upToDate(m) && !r.leaderAlive(now)
 	r.send(m.GetFrom(), &wire.Message{
 		Kind:   wire.MessageKind_MESSAGE_PREVOTE_REPLY,
@@ -146,12 +146,12 @@
 	if m.GetTerm() > r.term {
 		r.becomeFollower(now, m.GetTerm(), nil)
 	}
-	free := r.choice == nil || keyOf(r.choice) == keyOf(m.GetFrom())
-	grant := m.GetTerm() == r.term && free && r.role == Follower && r.upToDate(m)
+	mayGrant := r.votedFor == nil || idOf(r.votedFor) == idOf(m.GetFrom())
+	grant := m.GetTerm() == r.term && mayGrant && r.role == Follower && r.upToDate(m)
 	if grant {
-		r.choice = m.GetFrom()
-		r.dirty = true
-		r.resetElection(now)
+		r.votedFor = m.GetFrom()
+		r.voteChanged = true
+		r.resetElectionTimer(now)
 	}
 	r.send(m.GetFrom(), &wire.Message{
 		Kind:   wire.MessageKind_MESSAGE_VOTE_REPLY,
@@ -173,6 +173,6 @@
 	if m.GetTerm() != r.campaignTerm() {
 		return
 	}
-	r.votes[keyOf(m.GetFrom())] = true
+	r.votes[idOf(m.GetFrom())] = true
 	r.countVotes(now)
 }
--- a/core/replicator/errors.go
+++ b/core/replicator/errors.go
@@ -6,13 +6,13 @@
 	"chervilrail.example/core/wire"
 )
 
-// LeaderError says that only the leader takes proposals, and who that may be.
-type LeaderError struct {
+// NotLeaderError says that only the leader takes proposals, and who that may be.
+type NotLeaderError struct {
 	Leader *wire.Member
 }
 
 // Error implements error.
-func (e *LeaderError) Error() string {
+func (e *NotLeaderError) Error() string {
 	if e.Leader == nil {
 		return "propose: no leader is known"
 	}
--- a/core/replicator/group_test.go
+++ b/core/replicator/group_test.go
@@ -37,36 +37,36 @@
 
 func (d *disk) last() uint64 { return d.snapshot.GetIndex() + uint64(len(d.entries)) }
 
-// node is one replica of the fake group with its disk and its clock.
-type node struct {
+// testReplica is one replica of the fake group with its disk and its clock.
+type testReplica struct {
 	*Replica
 	disk *disk
 	up   bool
-	// cut is set while no message passes to or from the replica.
-	cut   bool
-	clock time.Time
-	// rate is how fast the clock runs, in thousandths.
-	rate    int64
-	applied map[uint64]string
+	// disconnected is set while no message passes to or from the replica.
+	disconnected bool
+	clock        time.Time
+	// clockRate is how fast the clock runs, in thousandths.
+	clockRate int64
+	applied   map[uint64]string
 }
 
 // group is a handful of replicas joined by a list of messages in flight.
 type group struct {
-	t       failer
-	random  *rand.Rand
-	now     time.Time
-	nodes   []*node
-	flight  []*wire.Message
-	serial  uint64
-	names   []string
-	chosen  map[uint64]string
-	acked   map[uint64]uint64
-	pending map[uint64]uint64
+	t        reporter
+	random   *rand.Rand
+	now      time.Time
+	replicas []*testReplica
+	inFlight []*wire.Message
+	serial   uint64
+	names    []string
+	chosen   map[uint64]string
+	acked    map[uint64]uint64
+	pending  map[uint64]uint64
 	// blocked holds the pairs of replicas between which nothing passes.
 	blocked map[[2]string]bool
 	// naive turns off what the test wants to see fail.
-	naiveDisk  bool
-	naiveQuiet bool
+	naiveDisk bool
+	naiveVote bool
 }
 
 var testTiming = Timing{
@@ -75,12 +75,12 @@
 	ReplaceAfter: 300 * time.Millisecond,
 }
 
-// failer is what reports a broken promise.
-type failer interface {
+// reporter is what reports a broken promise.
+type reporter interface {
 	Fatalf(format string, args ...any)
 }
 
-func newGroup(t failer, seed uint64, size int) *group {
+func newGroup(t reporter, seed uint64, size int) *group {
 	g := &group{
 		t:       t,
 		random:  rand.New(rand.NewPCG(seed, 1)),
@@ -100,8 +100,8 @@
 		d := &disk{self: m, group: 7, snapshot: &wire.Snapshot{
 			Index: 1, Term: 1, Config: &wire.Config{Members: members},
 		}}
-		g.nodes = append(g.nodes, &node{disk: d, clock: g.now, rate: 990 + int64(i)*10})
-		g.boot(g.nodes[i])
+		g.replicas = append(g.replicas, &testReplica{disk: d, clock: g.now, clockRate: 990 + int64(i)*10})
+		g.boot(g.replicas[i])
 	}
 	return g
 }
@@ -111,24 +111,24 @@
 	return &wire.Member{Name: name, Incarnation: g.serial}
 }
 
-func (g *group) boot(n *node) {
+func (g *group) boot(n *testReplica) {
 	n.Replica = &Replica{
-		Group:  n.disk.group,
-		Self:   n.disk.self,
-		Timing: testTiming,
-		Random: g.random,
-		Seats:  len(g.names),
+		Group:     n.disk.group,
+		Self:      n.disk.self,
+		Timing:    testTiming,
+		Random:    g.random,
+		MaxVoters: len(g.names),
 	}
 	n.Start(n.clock, n.disk.vote, n.disk.snapshot, n.disk.entries)
-	if g.naiveQuiet {
-		n.quietUntil = time.Time{}
+	if g.naiveVote {
+		n.noVoteUntil = time.Time{}
 	}
 	n.up = true
 	n.applied = map[uint64]string{}
 }
 
-// wipe replaces a disk. The naive version keeps the old identity.
-func (g *group) wipe(n *node) {
+// replaceDisk replaces a disk. The naive version keeps the old identity.
+func (g *group) replaceDisk(n *testReplica) {
 	m := g.newMember(n.disk.self.GetName())
 	if g.naiveDisk {
 		m = n.disk.self
@@ -136,12 +136,12 @@
 	n.disk = &disk{self: m, vote: &wire.Vote{}}
 	if g.naiveDisk {
 		n.disk.group = 7
-		n.disk.snapshot = &wire.Snapshot{Index: 1, Term: 1, Config: g.firstConfig()}
+		n.disk.snapshot = &wire.Snapshot{Index: 1, Term: 1, Config: g.initialConfig()}
 	}
 	g.boot(n)
 }
 
-func (g *group) firstConfig() *wire.Config {
+func (g *group) initialConfig() *wire.Config {
 	c := &wire.Config{}
 	for i, name := range g.names {
 		c.Members = append(c.Members, &wire.Member{Name: name, Incarnation: uint64(i + 1), Voter: true})
@@ -149,11 +149,11 @@
 	return c
 }
 
-// whole reports whether every voter of the newest committed set still has its disk, so that the group
+// allVotersIntact reports whether every voter of the newest committed set still has its disk, so that the group
 // is meant to survive the loss of one more.
-func (g *group) whole() bool {
-	var newest *node
-	for _, n := range g.nodes {
+func (g *group) allVotersIntact() bool {
+	var newest *testReplica
+	for _, n := range g.replicas {
 		if newest == nil || n.commit > newest.commit {
 			newest = n
 		}
@@ -163,30 +163,30 @@
 		if !m.GetVoter() {
 			return false
 		}
-		for _, n := range g.nodes {
-			if keyOf(n.disk.self) == keyOf(m) {
+		for _, n := range g.replicas {
+			if idOf(n.disk.self) == idOf(m) {
 				voters++
 			}
 		}
 	}
-	return voters == len(g.nodes) && newest.log.configIndex() <= newest.commit
+	return voters == len(g.replicas) && newest.log.configIndex() <= newest.commit
 }
 
 // advance lets time pass; every clock runs at its own rate.
 func (g *group) advance(d time.Duration) {
 	g.now = g.now.Add(d)
-	for _, n := range g.nodes {
-		n.clock = n.clock.Add(time.Duration(int64(d) * n.rate / 1000))
+	for _, n := range g.replicas {
+		n.clock = n.clock.Add(time.Duration(int64(d) * n.clockRate / 1000))
 		if n.up {
 			n.Tick(n.clock)
-			g.work(n, false)
+			g.processReady(n, false)
 		}
 	}
 	g.checkLeases()
 }
 
-// work carries out a Ready; with crash, the replica dies between saving and sending.
-func (g *group) work(n *node, crash bool) {
+// processReady carries out a Ready; with crash, the replica dies between saving and sending.
+func (g *group) processReady(n *testReplica, crash bool) {
 	for {
 		r := n.Ready()
 		if r.Vote == nil && r.Snapshot == nil && len(r.Entries)+len(r.Messages)+len(r.Commits) == 0 {
@@ -201,33 +201,33 @@
 			return
 		}
 		if len(r.Entries) > 0 {
-			n.Saved(r.Entries[len(r.Entries)-1].GetIndex())
+			n.MarkSaved(r.Entries[len(r.Entries)-1].GetIndex())
 		}
-		g.post(n, r.Messages)
+		g.enqueue(n, r.Messages)
 		for _, e := range r.Commits {
 			g.commit(n, e)
 		}
 	}
 }
 
-func (g *group) post(n *node, messages []*wire.Message) {
+func (g *group) enqueue(n *testReplica, messages []*wire.Message) {
 	for _, m := range messages {
 		if m.GetKind() != wire.MessageKind_MESSAGE_JOIN {
-			g.flight = append(g.flight, m)
+			g.inFlight = append(g.inFlight, m)
 			continue
 		}
-		for _, o := range g.nodes {
+		for _, o := range g.replicas {
 			if o != n {
 				copied := proto.CloneOf(m)
 				copied.To = o.disk.self
-				g.flight = append(g.flight, copied)
+				g.inFlight = append(g.inFlight, copied)
 			}
 		}
 	}
 }
 
 // commit checks that no index is ever committed with two different contents.
-func (g *group) commit(n *node, e *wire.Entry) {
+func (g *group) commit(n *testReplica, e *wire.Entry) {
 	text := fmt.Sprintf("%d/%s", e.GetTerm(), e.GetData())
 	if before, ok := g.chosen[e.GetIndex()]; ok && before != text {
 		g.t.Fatalf("index %d was committed as %s and now as %s at %s", e.GetIndex(), before, text, n.Self)
@@ -240,43 +240,43 @@
 
 // checkLeases fails when two replicas could both answer reads.
 func (g *group) checkLeases() {
-	holders := 0
-	for _, n := range g.nodes {
+	leaseHolders := 0
+	for _, n := range g.replicas {
 		if n.up && n.clock.Before(n.LeaseDeadline(n.clock)) {
-			holders++
+			leaseHolders++
 		}
 	}
-	if holders > 1 {
-		g.t.Fatalf("%d replicas hold the read lease at once", holders)
+	if leaseHolders > 1 {
+		g.t.Fatalf("%d replicas hold the read lease at once", leaseHolders)
 	}
 }
 
 func (g *group) deliver(i int, keep bool) {
-	m := g.flight[i]
+	m := g.inFlight[i]
 	if !keep {
-		g.flight = append(g.flight[:i:i], g.flight[i+1:]...)
+		g.inFlight = append(g.inFlight[:i:i], g.inFlight[i+1:]...)
 	}
-	from := g.named(m.GetFrom().GetName())
+	from := g.byName(m.GetFrom().GetName())
 	if g.blocked[[2]string{m.GetFrom().GetName(), m.GetTo().GetName()}] {
 		return
 	}
-	for _, n := range g.nodes {
-		if n.up && !n.cut && !from.cut && n.disk.self.GetName() == m.GetTo().GetName() {
+	for _, n := range g.replicas {
+		if n.up && !n.disconnected && !from.disconnected && n.disk.self.GetName() == m.GetTo().GetName() {
 			n.Step(n.clock, proto.CloneOf(m))
-			g.work(n, false)
+			g.processReady(n, false)
 		}
 	}
 }
 
 // block cuts or restores the way between two replicas, both ways.
-func (g *group) block(a, b *node, cut bool) {
+func (g *group) block(a, b *testReplica, cut bool) {
 	one, two := a.disk.self.GetName(), b.disk.self.GetName()
 	g.blocked[[2]string{one, two}] = cut
 	g.blocked[[2]string{two, one}] = cut
 }
 
-func (g *group) named(name string) *node {
-	for _, n := range g.nodes {
+func (g *group) byName(name string) *testReplica {
+	for _, n := range g.replicas {
 		if n.disk.self.GetName() == name {
 			return n
 		}
@@ -284,7 +284,7 @@
 	return nil
 }
 
-func (g *group) propose(n *node) {
+func (g *group) propose(n *testReplica) {
 	index, term, err := n.Propose(fmt.Appendf(nil, "v%d", g.serial))
 	g.serial++
 	if err != nil {
@@ -292,10 +292,10 @@
 	}
 	g.pending[index] = term
 	n.Flush(n.clock)
-	g.work(n, false)
+	g.processReady(n, false)
 }
 
-func (g *group) compact(n *node) {
+func (g *group) compact(n *testReplica) {
 	if n.applied == nil || n.Committed() <= n.log.snapshot.GetIndex() || n.Replica.applied < n.Committed() {
 		return
 	}
@@ -305,11 +305,11 @@
 	}
 }
 
-// heal lets everything run without faults until a leader holds its lease and all logs are equal.
-func (g *group) heal() *node {
+// converge lets everything run without faults until a leader holds its lease and all logs are equal.
+func (g *group) converge() *testReplica {
 	g.blocked = map[[2]string]bool{}
-	for _, n := range g.nodes {
-		n.cut = false
+	for _, n := range g.replicas {
+		n.disconnected = false
 		if !n.up {
 			g.boot(n)
 		}
@@ -317,7 +317,7 @@
 	for range 400 {
 		g.deliverAll()
 		g.advance(10 * time.Millisecond)
-		if l := g.leader(); l != nil && g.level(l) {
+		if l := g.leader(); l != nil && g.caughtUp(l) {
 			return l
 		}
 	}
@@ -328,27 +328,27 @@
 // deliverAll delivers until nothing is in flight; messages that answer each other for ever, without any
 // time passing, would keep the replicas and the network busy for nothing.
 func (g *group) deliverAll() {
-	const most = 20_000
-	for range most {
-		if len(g.flight) == 0 {
+	const limit = 20_000
+	for range limit {
+		if len(g.inFlight) == 0 {
 			return
 		}
 		g.deliver(0, false)
 	}
-	last := g.flight[0]
-	g.t.Fatalf("%d messages at one instant, the next from %s to %s: %s", most, last.GetFrom().GetName(), last.GetTo().GetName(), last)
+	last := g.inFlight[0]
+	g.t.Fatalf("%d messages at one instant, the next from %s to %s: %s", limit, last.GetFrom().GetName(), last.GetTo().GetName(), last)
 }
 
-// calm runs without faults for a while, but for what is cut or blocked.
-func (g *group) calm(d time.Duration) {
+// runFor runs without faults for a while, but for what is cut or blocked.
+func (g *group) runFor(d time.Duration) {
 	for range d / (5 * time.Millisecond) {
 		g.deliverAll()
 		g.advance(5 * time.Millisecond)
 	}
 }
 
-func (g *group) leader() *node {
-	for _, n := range g.nodes {
+func (g *group) leader() *testReplica {
+	for _, n := range g.replicas {
 		if n.up && n.clock.Before(n.LeaseDeadline(n.clock)) {
 			return n
 		}
@@ -356,8 +356,8 @@
 	return nil
 }
 
-func (g *group) level(l *node) bool {
-	for _, n := range g.nodes {
+func (g *group) caughtUp(l *testReplica) bool {
+	for _, n := range g.replicas {
 		if n.disk.last() != l.disk.last() || n.Committed() != l.log.last() {
 			return false
 		}
--- a/core/replicator/journal.go
+++ b/core/replicator/log.go
@@ -6,19 +6,19 @@
 	"chervilrail.example/core/wire"
 )
 
-// journal is the log after the latest snapshot, with the replica sets that its entries carry.
-type journal struct {
+// entryLog is the log after the latest snapshot, with the replica sets that its entries carry.
+type entryLog struct {
 	snapshot *wire.Snapshot
 	entries  []*wire.Entry
-	configs  []configAt
+	configs  []indexedConfig
 }
 
-type configAt struct {
+type indexedConfig struct {
 	index  uint64
 	config *wire.Config
 }
 
-func (j *journal) reset(snapshot *wire.Snapshot) {
+func (j *entryLog) reset(snapshot *wire.Snapshot) {
 	if snapshot == nil {
 		snapshot = &wire.Snapshot{}
 	}
@@ -27,12 +27,12 @@
 	j.configs = nil
 }
 
-func (j *journal) last() uint64 {
+func (j *entryLog) last() uint64 {
 	return j.snapshot.GetIndex() + uint64(len(j.entries))
 }
 
 // term returns the term of the entry at index, or 0 where the journal does not hold it.
-func (j *journal) term(index uint64) uint64 {
+func (j *entryLog) term(index uint64) uint64 {
 	if index == j.snapshot.GetIndex() {
 		return j.snapshot.GetTerm()
 	}
@@ -42,13 +42,13 @@
 	return j.entries[index-j.snapshot.GetIndex()-1].GetTerm()
 }
 
-func (j *journal) slice(from, to uint64) []*wire.Entry {
+func (j *entryLog) slice(from, to uint64) []*wire.Entry {
 	base := j.snapshot.GetIndex()
 	out := make([]*wire.Entry, 0, to-from+1)
 	return append(out, j.entries[from-base-1:to-base]...)
 }
 
-func (j *journal) append(entries ...*wire.Entry) {
+func (j *entryLog) append(entries ...*wire.Entry) {
 	for _, e := range entries {
 		if e.GetIndex() <= j.snapshot.GetIndex() {
 			continue
@@ -57,11 +57,11 @@
 			j.truncate(e.GetIndex())
 		}
 		j.entries = append(j.entries, e)
-		j.remember(e)
+		j.addConfig(e)
 	}
 }
 
-func (j *journal) remember(e *wire.Entry) {
+func (j *entryLog) addConfig(e *wire.Entry) {
 	if e.GetKind() != wire.EntryKind_ENTRY_CONFIG {
 		return
 	}
@@ -69,11 +69,11 @@
 	if err := proto.Unmarshal(e.GetData(), config); err != nil {
 		return
 	}
-	j.configs = append(j.configs, configAt{e.GetIndex(), config})
+	j.configs = append(j.configs, indexedConfig{e.GetIndex(), config})
 }
 
 // truncate drops the entry at index and all after it.
-func (j *journal) truncate(index uint64) {
+func (j *entryLog) truncate(index uint64) {
 	j.entries = j.entries[:index-j.snapshot.GetIndex()-1]
 	for len(j.configs) > 0 && j.configs[len(j.configs)-1].index >= index {
 		j.configs = j.configs[:len(j.configs)-1]
@@ -81,21 +81,21 @@
 }
 
 // config returns the newest replica set, committed or not.
-func (j *journal) config() *wire.Config {
+func (j *entryLog) config() *wire.Config {
 	if n := len(j.configs); n > 0 {
 		return j.configs[n-1].config
 	}
 	return j.snapshot.GetConfig()
 }
 
-func (j *journal) configIndex() uint64 {
+func (j *entryLog) configIndex() uint64 {
 	if n := len(j.configs); n > 0 {
 		return j.configs[n-1].index
 	}
 	return j.snapshot.GetIndex()
 }
 
-func (j *journal) configBefore(index uint64) *wire.Config {
+func (j *entryLog) configBefore(index uint64) *wire.Config {
 	out := j.snapshot.GetConfig()
 	for _, c := range j.configs {
 		if c.index <= index {
@@ -105,7 +105,7 @@
 	return out
 }
 
-func (j *journal) compact(index uint64, data []byte) *wire.Snapshot {
+func (j *entryLog) compact(index uint64, data []byte) *wire.Snapshot {
 	if index <= j.snapshot.GetIndex() || index > j.last() {
 		return j.snapshot
 	}
--- a/core/replicator/membership.go
+++ b/core/replicator/membership.go
@@ -14,8 +14,8 @@
 // maxMembers bounds the replicas of a group, learners included; the leader sends to each.
 const maxMembers = 16
 
-// askToJoin announces a replica without a seat; the caller sends the message to every other controller.
-func (r *Replica) askToJoin() {
+// requestJoin announces a replica without a seat; the caller sends the message to every other controller.
+func (r *Replica) requestJoin() {
 	r.outbox = append(r.outbox, &wire.Message{
 		Kind:  wire.MessageKind_MESSAGE_JOIN,
 		Group: r.Group,
@@ -27,7 +27,7 @@
 // of them.
 func (r *Replica) handleJoin(m *wire.Message) {
 	if r.role == Leader {
-		r.joiners[keyOf(m.GetFrom())] = m.GetFrom()
+		r.joiners[idOf(m.GetFrom())] = m.GetFrom()
 		return
 	}
 	if r.leader != nil && m.GetTo() == nil {
@@ -37,25 +37,25 @@
 	}
 }
 
-// noteOutsider lets a replica back in whose seat was given away while it was cut off. Its own log still counts
+// handleNonMember lets a replica back in whose seat was given away while it was cut off. Its own log still counts
 // it as a voter, so it campaigns in vain and would never ask to join.
-func (r *Replica) noteOutsider(from *wire.Member) {
-	if !r.member(keyOf(from)) {
+func (r *Replica) handleNonMember(from *wire.Member) {
+	if !r.isMember(idOf(from)) {
 		r.handleJoin(&wire.Message{From: from})
 	}
 }
 
-// arrangeMembers makes at most one membership change at a time: a new disk is first a replica without
+// reconcileMembers makes at most one membership change at a time: a new disk is first a replica without
 // a vote, and gets the vote only when it durably holds everything committed. A disk that voted while
 // empty could elect a leader that lacks an acknowledged change.
-func (r *Replica) arrangeMembers(now time.Time) {
+func (r *Replica) reconcileMembers(now time.Time) {
 	if r.commit < r.termStart || r.log.configIndex() > r.commit {
 		return
 	}
 	if r.promote(now) || r.admit(now) {
 		return
 	}
-	r.dismiss(now)
+	r.removeSilentLearner(now)
 }
 
 // promote gives a vote to a replica that has caught up, if a seat is free or falls free.
@@ -65,15 +65,15 @@
 		if m.GetVoter() || !recent || match < r.commit {
 			continue
 		}
-		if r.freeSeat(now, m) {
+		if r.removeReplaced(now, m) {
 			return true
 		}
-		if len(r.voters()) >= r.Seats {
+		if len(r.voters()) >= r.MaxVoters {
 			continue
 		}
 		config := cloneConfig(r.log.config())
 		for _, c := range config.GetMembers() {
-			if keyOf(c) == keyOf(m) {
+			if idOf(c) == idOf(m) {
 				c.Voter = true
 			}
 		}
@@ -83,12 +83,12 @@
 	return false
 }
 
-// freeSeat takes the seat of the learner's lost predecessor, or, with all seats taken, of a voter that has been
+// removeReplaced takes the seat of the learner's lost predecessor, or, with all seats taken, of a voter that has been
 // silent for long: a group that waits for an instance that is gone for good survives one loss less.
-func (r *Replica) freeSeat(now time.Time, learner *wire.Member) bool {
+func (r *Replica) removeReplaced(now time.Time, learner *wire.Member) bool {
 	config := cloneConfig(r.log.config())
 	at := predecessor(config, learner)
-	if at < 0 && len(r.voters()) >= r.Seats {
+	if at < 0 && len(r.voters()) >= r.MaxVoters {
 		at = slices.IndexFunc(config.GetMembers(), func(m *wire.Member) bool { return m.GetVoter() && r.silent(now, m) })
 	}
 	if at < 0 {
@@ -106,8 +106,8 @@
 	})
 }
 
-// dismiss drops a replica without a vote that stopped answering; it joins again when it is back.
-func (r *Replica) dismiss(now time.Time) {
+// removeSilentLearner drops a replica without a vote that stopped answering; it joins again when it is back.
+func (r *Replica) removeSilentLearner(now time.Time) {
 	at := slices.IndexFunc(r.log.config().GetMembers(), func(m *wire.Member) bool {
 		return !m.GetVoter() && r.silent(now, m)
 	})
@@ -120,10 +120,10 @@
 }
 
 func (r *Replica) admit(now time.Time) bool {
-	for _, k := range sortedKeys(r.joiners) {
+	for _, k := range sortedIDs(r.joiners) {
 		j := r.joiners[k]
 		delete(r.joiners, k)
-		if r.member(k) || !r.seatFree(now, j) || len(r.log.config().GetMembers()) >= maxMembers {
+		if r.isMember(k) || !r.mayJoin(now, j) || len(r.log.config().GetMembers()) >= maxMembers {
 			continue
 		}
 		config := cloneConfig(r.log.config())
@@ -136,19 +136,19 @@
 	return false
 }
 
-func sortedKeys(joiners map[key]*wire.Member) []key {
-	return slices.SortedFunc(maps.Keys(joiners), func(a, b key) int {
+func sortedIDs(joiners map[memberID]*wire.Member) []memberID {
+	return slices.SortedFunc(maps.Keys(joiners), func(a, b memberID) int {
 		return cmp.Or(cmp.Compare(a.name, b.name), cmp.Compare(a.incarnation, b.incarnation))
 	})
 }
 
-func (r *Replica) member(k key) bool {
-	return slices.ContainsFunc(r.log.config().GetMembers(), func(m *wire.Member) bool { return keyOf(m) == k })
+func (r *Replica) isMember(k memberID) bool {
+	return slices.ContainsFunc(r.log.config().GetMembers(), func(m *wire.Member) bool { return idOf(m) == k })
 }
 
-// seatFree holds a newcomer off while another disk of its name still answers: two processes started
+// mayJoin holds a newcomer off while another disk of its name still answers: two processes started
 // under one name by mistake must not push each other out in turn.
-func (r *Replica) seatFree(now time.Time, j *wire.Member) bool {
+func (r *Replica) mayJoin(now time.Time, j *wire.Member) bool {
 	at := predecessor(r.log.config(), j)
 	if at < 0 {
 		return true
@@ -159,7 +159,7 @@
 // silent reports whether a member has not answered this leader for the time after which it may be replaced,
 // counted from when the leader began to send to it.
 func (r *Replica) silent(now time.Time, m *wire.Member) bool {
-	p, ok := r.peers[keyOf(m)]
+	p, ok := r.peers[idOf(m)]
 	if !ok {
 		return false
 	}
--- a/core/replicator/replica.go
+++ b/core/replicator/replica.go
@@ -40,18 +40,18 @@
 const (
 	maxBatch    = 256
 	maxInflight = 8
-	// driftParts is the share of a lease given up to clocks that run at different rates: 1/50.
-	driftParts = 50
+	// driftDivisor is the share of a lease given up to clocks that run at different rates: 1/50.
+	driftDivisor = 50
 )
 
-// key tells two disks of the same replica name apart.
-type key struct {
+// memberID tells two disks of the same replica name apart.
+type memberID struct {
 	name        string
 	incarnation uint64
 }
 
-func keyOf(m *wire.Member) key {
-	return key{m.GetName(), m.GetIncarnation()}
+func idOf(m *wire.Member) memberID {
+	return memberID{m.GetName(), m.GetIncarnation()}
 }
 
 // Timing holds the settings of elections and heartbeats.
@@ -68,34 +68,34 @@
 	Self   *wire.Member
 	Timing Timing
 	Random *rand.Rand
-	// Seats is how many replicas vote. Others that join learn the log, and take over a seat that falls free.
-	Seats int
-
-	role    Role
-	term    uint64
-	choice  *wire.Member
-	leader  *wire.Member
-	commit  uint64
-	saved   uint64
-	applied uint64
-	log     journal
-	votes   map[key]bool
-	peers   map[key]*progress
-	joiners map[key]*wire.Member
+	// MaxVoters is how many replicas vote. Others that join learn the log, and take over a seat that falls free.
+	MaxVoters int
+
+	role     Role
+	term     uint64
+	votedFor *wire.Member
+	leader   *wire.Member
+	commit   uint64
+	saved    uint64
+	applied  uint64
+	log      entryLog
+	votes    map[memberID]bool
+	peers    map[memberID]*progress
+	joiners  map[memberID]*wire.Member
 
 	electionAt  time.Time
 	heartbeatAt time.Time
-	// quietUntil guards the leader's lease: until then no vote is given to anyone else.
-	quietUntil time.Time
-	leadSince  time.Time
-	round      uint64
-	rounds     map[uint64]time.Time
-	termStart  uint64
-
-	dirty    bool
-	unsaved  uint64
-	restored *wire.Snapshot
-	outbox   []*wire.Message
+	// noVoteUntil guards the leader's lease: until then no vote is given to anyone else.
+	noVoteUntil time.Time
+	leaderSince time.Time
+	round       uint64
+	rounds      map[uint64]time.Time
+	termStart   uint64
+
+	voteChanged     bool
+	firstUnsaved    uint64
+	pendingSnapshot *wire.Snapshot
+	outbox          []*wire.Message
 }
 
 // progress is what a leader knows of another replica.
@@ -126,17 +126,17 @@
 	r.log.reset(snapshot)
 	r.log.append(entries...)
 	r.term = vote.GetTerm()
-	r.choice = vote.GetChoice()
+	r.votedFor = vote.GetChoice()
 	r.commit = max(vote.GetCommit(), snapshot.GetIndex())
 	r.commit = min(r.commit, r.log.last())
 	r.applied = snapshot.GetIndex()
 	r.saved = r.log.last()
-	r.unsaved = r.saved + 1
-	r.joiners = map[key]*wire.Member{}
+	r.firstUnsaved = r.saved + 1
+	r.joiners = map[memberID]*wire.Member{}
 	// A restarted replica has forgotten when it last heard the leader. If it voted at once, a second
 	// leader could arise inside the first one's lease and two controllers would grant the same limits.
-	r.quietUntil = now.Add(r.Timing.Election)
-	r.resetElection(now)
+	r.noVoteUntil = now.Add(r.Timing.Election)
+	r.resetElectionTimer(now)
 }
 
 // Role returns what the replica does now.
@@ -151,18 +151,18 @@
 // Committed returns the highest index known to be committed.
 func (r *Replica) Committed() uint64 { return r.commit }
 
-// LeadSince returns when this replica became leader.
-func (r *Replica) LeadSince() time.Time { return r.leadSince }
+// LeaderSince returns when this replica became leader.
+func (r *Replica) LeaderSince() time.Time { return r.leaderSince }
 
 // Members returns the newest replica set.
 func (r *Replica) Members() []*wire.Member { return r.log.config().GetMembers() }
 
 // Match returns how far a replica's disk is known to hold the log, and whether it answered lately.
 func (r *Replica) Match(now time.Time, m *wire.Member) (uint64, bool) {
-	if keyOf(m) == keyOf(r.Self) {
+	if idOf(m) == idOf(r.Self) {
 		return r.saved, true
 	}
-	p, ok := r.peers[keyOf(m)]
+	p, ok := r.peers[idOf(m)]
 	if !ok {
 		return 0, false
 	}
@@ -177,24 +177,24 @@
 	}
 	var confirmed []time.Time
 	for _, m := range r.voters() {
-		if keyOf(m) == keyOf(r.Self) {
+		if idOf(m) == idOf(r.Self) {
 			confirmed = append(confirmed, now)
 			continue
 		}
-		confirmed = append(confirmed, r.peers[keyOf(m)].confirmed)
+		confirmed = append(confirmed, r.peers[idOf(m)].confirmed)
 	}
 	sort.Slice(confirmed, func(i, j int) bool { return confirmed[i].After(confirmed[j]) })
 	base := confirmed[len(confirmed)/2]
 	if base.IsZero() {
 		return time.Time{}
 	}
-	return base.Add(r.Timing.Election - r.Timing.Election/driftParts)
+	return base.Add(r.Timing.Election - r.Timing.Election/driftDivisor)
 }
 
 // Propose appends a command to the leader's log and returns its index and term.
 func (r *Replica) Propose(data []byte) (uint64, uint64, error) {
 	if r.role != Leader {
-		return 0, 0, &LeaderError{Leader: r.leader}
+		return 0, 0, &NotLeaderError{Leader: r.leader}
 	}
 	e := r.appendOwn(wire.EntryKind_ENTRY_COMMAND, data)
 	return e.GetIndex(), e.GetTerm(), nil
@@ -221,9 +221,9 @@
 	if now.Before(r.electionAt) {
 		return
 	}
-	r.resetElection(now)
-	if !r.isVoter(keyOf(r.Self)) {
-		r.askToJoin()
+	r.resetElectionTimer(now)
+	if !r.isVoter(idOf(r.Self)) {
+		r.requestJoin()
 		return
 	}
 	r.campaign(now, PreCandidate)
@@ -235,23 +235,23 @@
 	}
 	// A leader cut off from its quorum learns it only from its own clock: without this step it would
 	// go on accepting changes that can never commit, and callers would wait instead of asking elsewhere.
-	if r.quorumSilent(now) {
+	if r.quorumLost(now) {
 		r.becomeFollower(now, r.term, nil)
 		return
 	}
 	r.heartbeat(now)
-	r.arrangeMembers(now)
+	r.reconcileMembers(now)
 }
 
-func (r *Replica) quorumSilent(now time.Time) bool {
-	heard := 0
+func (r *Replica) quorumLost(now time.Time) bool {
+	responding := 0
 	for _, m := range r.voters() {
 		if _, recent := r.Match(now, m); recent {
-			heard++
+			responding++
 		}
 	}
-	started := now.Sub(r.leadSince) > 2*r.Timing.Election
-	return started && heard <= len(r.voters())/2
+	started := now.Sub(r.leaderSince) > 2*r.Timing.Election
+	return started && responding <= len(r.voters())/2
 }
 
 func (r *Replica) heartbeat(now time.Time) {
@@ -272,17 +272,17 @@
 // Ready hands over the pending work and forgets it.
 func (r *Replica) Ready() Ready {
 	var out Ready
-	if r.restored != nil {
-		out.Snapshot = r.restored
-		r.restored = nil
+	if r.pendingSnapshot != nil {
+		out.Snapshot = r.pendingSnapshot
+		r.pendingSnapshot = nil
 	}
-	if r.unsaved <= r.log.last() {
-		out.Entries = r.log.slice(r.unsaved, r.log.last())
-		r.unsaved = r.log.last() + 1
+	if r.firstUnsaved <= r.log.last() {
+		out.Entries = r.log.slice(r.firstUnsaved, r.log.last())
+		r.firstUnsaved = r.log.last() + 1
 	}
-	if r.dirty || len(out.Entries) > 0 {
-		out.Vote = &wire.Vote{Term: r.term, Choice: r.choice, Commit: r.commit}
-		r.dirty = false
+	if r.voteChanged || len(out.Entries) > 0 {
+		out.Vote = &wire.Vote{Term: r.term, Choice: r.votedFor, Commit: r.commit}
+		r.voteChanged = false
 	}
 	out.Messages = r.outbox
 	r.outbox = nil
@@ -293,8 +293,8 @@
 	return out
 }
 
-// Saved tells the replica that everything up to index is durable on its own disk.
-func (r *Replica) Saved(index uint64) {
+// MarkSaved tells the replica that everything up to index is durable on its own disk.
+func (r *Replica) MarkSaved(index uint64) {
 	r.saved = min(index, r.log.last())
 	if r.role == Leader {
 		r.advanceCommit()
@@ -318,11 +318,11 @@
 func (r *Replica) advanceCommit() {
 	var matches []uint64
 	for _, m := range r.voters() {
-		if keyOf(m) == keyOf(r.Self) {
+		if idOf(m) == idOf(r.Self) {
 			matches = append(matches, r.saved)
 			continue
 		}
-		matches = append(matches, r.peers[keyOf(m)].match)
+		matches = append(matches, r.peers[idOf(m)].match)
 	}
 	sort.Slice(matches, func(i, j int) bool { return matches[i] > matches[j] })
 	index := matches[len(matches)/2]
@@ -337,7 +337,7 @@
 func (r *Replica) others() []*progress {
 	var out []*progress
 	for _, m := range r.log.config().GetMembers() {
-		if p, ok := r.peers[keyOf(m)]; ok {
+		if p, ok := r.peers[idOf(m)]; ok {
 			out = append(out, p)
 		}
 	}
@@ -354,18 +354,18 @@
 	return out
 }
 
-func (r *Replica) isVoter(k key) bool {
+func (r *Replica) isVoter(k memberID) bool {
 	for _, m := range r.voters() {
-		if keyOf(m) == k {
+		if idOf(m) == k {
 			return true
 		}
 	}
 	return false
 }
 
-func (r *Replica) resetElection(now time.Time) {
-	spread := time.Duration(r.Random.Int64N(int64(r.Timing.Election)))
-	r.electionAt = now.Add(r.Timing.Election + spread)
+func (r *Replica) resetElectionTimer(now time.Time) {
+	jitter := time.Duration(r.Random.Int64N(int64(r.Timing.Election)))
+	r.electionAt = now.Add(r.Timing.Election + jitter)
 }
 
 func (r *Replica) send(to *wire.Member, m *wire.Message) {
--- a/core/replicator/replication.go
+++ b/core/replicator/replication.go
@@ -41,7 +41,7 @@
 	if m.GetKind() == wire.MessageKind_MESSAGE_JOIN {
 		return m.GetGroup() == 0 || m.GetGroup() == r.Group
 	}
-	if keyOf(m.GetTo()) != keyOf(r.Self) {
+	if idOf(m.GetTo()) != idOf(r.Self) {
 		return false
 	}
 	if r.Group == 0 {
@@ -114,14 +114,14 @@
 	})
 }
 
-// follow accepts the sender as leader, or reports that its term is over.
-func (r *Replica) follow(now time.Time, m *wire.Message) bool {
+// acceptLeader accepts the sender as leader, or reports that its term is over.
+func (r *Replica) acceptLeader(now time.Time, m *wire.Message) bool {
 	if m.GetTerm() < r.term {
 		r.reply(m, &wire.Message{Reject: true, Hint: r.log.last()})
 		return false
 	}
 	r.becomeFollower(now, m.GetTerm(), m.GetFrom())
-	r.quietUntil = now.Add(r.Timing.Election)
+	r.noVoteUntil = now.Add(r.Timing.Election)
 	return true
 }
 
@@ -133,7 +133,7 @@
 }
 
 func (r *Replica) handleAppend(now time.Time, m *wire.Message) {
-	if !r.follow(now, m) {
+	if !r.acceptLeader(now, m) {
 		return
 	}
 	if m.GetIndex() < r.commit {
@@ -164,7 +164,7 @@
 		if e.GetIndex() != r.log.last()+1 && e.GetIndex() > r.log.last() {
 			break
 		}
-		r.unsaved = min(r.unsaved, e.GetIndex())
+		r.firstUnsaved = min(r.firstUnsaved, e.GetIndex())
 		r.saved = min(r.saved, e.GetIndex()-1)
 		r.log.append(e)
 	}
@@ -185,27 +185,27 @@
 	if r.role != Leader || m.GetTerm() < r.term {
 		return
 	}
-	p, ok := r.peers[keyOf(m.GetFrom())]
+	p, ok := r.peers[idOf(m.GetFrom())]
 	if !ok {
 		return
 	}
-	r.confirm(p, m.GetRound())
+	r.recordConfirmation(p, m.GetRound())
 	if m.GetReject() {
-		r.stepBack(now, p, m)
+		r.handleRejection(now, p, m)
 		return
 	}
-	r.matched(now, p, m.GetIndex())
+	r.handleAccepted(now, p, m.GetIndex())
 }
 
-// confirm counts a lease from when the round was sent, never from when its answer came.
-func (r *Replica) confirm(p *progress, round uint64) {
+// recordConfirmation counts a lease from when the round was sent, never from when its answer came.
+func (r *Replica) recordConfirmation(p *progress, round uint64) {
 	sent, ok := r.rounds[round]
 	if ok && sent.After(p.confirmed) {
 		p.confirmed = sent
 	}
 }
 
-func (r *Replica) stepBack(now time.Time, p *progress, m *wire.Message) {
+func (r *Replica) handleRejection(now time.Time, p *progress, m *wire.Message) {
 	if m.GetIndex() > r.log.last() {
 		return
 	}
@@ -224,7 +224,7 @@
 	r.sendAppend(now, p)
 }
 
-func (r *Replica) matched(now time.Time, p *progress, index uint64) {
+func (r *Replica) handleAccepted(now time.Time, p *progress, index uint64) {
 	if p.inflight > 0 {
 		p.inflight--
 	}
@@ -240,7 +240,7 @@
 }
 
 func (r *Replica) handleSnapshot(now time.Time, m *wire.Message) {
-	if !r.follow(now, m) {
+	if !r.acceptLeader(now, m) {
 		return
 	}
 	s := m.GetSnapshot()
@@ -256,11 +256,11 @@
 		return
 	}
 	r.log.reset(s)
-	r.restored = s
+	r.pendingSnapshot = s
 	r.commit = s.GetIndex()
 	r.applied = s.GetIndex()
 	r.saved = s.GetIndex()
-	r.unsaved = s.GetIndex() + 1
-	r.dirty = true
+	r.firstUnsaved = s.GetIndex() + 1
+	r.voteChanged = true
 	r.reply(m, &wire.Message{Index: s.GetIndex()})
 }
--- a/core/replicator/schedule_test.go
+++ b/core/replicator/schedule_test.go
@@ -32,65 +32,65 @@
 	c.schedules++
 	c.acked += len(g.acked)
 	c.serials += int(g.serial)
-	c.terms += int(g.nodes[0].term)
+	c.terms += int(g.replicas[0].term)
 }
 
 func (g *group) pick(most int) int { return g.random.IntN(most + 1) }
 
 // run plays one schedule: mostly time, messages and proposals, now and then a fault.
-func (g *group) run(steps int, wipes bool) {
+func (g *group) run(steps int, replaceDisks bool) {
 	for range steps {
-		n := g.nodes[g.pick(len(g.nodes)-1)]
+		n := g.replicas[g.pick(len(g.replicas)-1)]
 		switch g.pick(99) {
 		case 0:
 			n.up = false
 		case 1:
 			if n.up {
-				g.work(n, true)
+				g.processReady(n, true)
 			}
 		case 2:
-			n.cut = !n.cut
+			n.disconnected = !n.disconnected
 		case 3:
-			if wipes && g.whole() {
-				g.wipe(n)
+			if replaceDisks && g.allVotersIntact() {
+				g.replaceDisk(n)
 			}
 		case 4, 5, 6:
 			if !n.up {
 				g.boot(n)
 			}
 		case 7, 8:
-			n.cut = false
+			n.disconnected = false
 		case 10:
-			g.block(n, g.nodes[g.pick(len(g.nodes)-1)], true)
+			g.block(n, g.replicas[g.pick(len(g.replicas)-1)], true)
 		case 11, 12:
-			g.block(n, g.nodes[g.pick(len(g.nodes)-1)], false)
+			g.block(n, g.replicas[g.pick(len(g.replicas)-1)], false)
 		case 9:
 			if n.up {
 				g.compact(n)
 			}
 		default:
-			g.live(n)
+			g.advanceAndDeliver(n)
 		}
 	}
 }
 
-// live lets a little time pass and delivers some of what is in flight, not always all or in order.
-func (g *group) live(n *node) {
+// advanceAndDeliver lets a little time pass and delivers some of what is in flight, not always all or in order.
+func (g *group) advanceAndDeliver(n *testReplica) {
 	g.advance(time.Duration(1+g.pick(14)) * time.Millisecond)
 	if n.up && n.Role() == Leader {
 		g.propose(n)
 	}
-	for range g.pick(2 * len(g.flight)) {
-		if len(g.flight) == 0 {
+	for range g.pick(2 * len(g.inFlight)) {
+		if len(g.inFlight) == 0 {
 			return
 		}
 		switch g.pick(29) {
 		case 0:
 			g.drop()
 		case 1:
-			g.deliver(g.pick(len(g.flight)-1), true)
+			g.deliver(g.pick(len(g.inFlight)-1), true)
 		case 2, 3:
-			g.deliver(g.pick(len(g.flight)-1), false)
+			g.deliver(g.pick(len(g.inFlight)-1), false)
 		default:
 			g.deliver(0, false)
 		}
@@ -98,14 +98,14 @@
 }
 
 func (g *group) drop() {
-	if len(g.flight) > 0 {
-		i := g.pick(len(g.flight) - 1)
-		g.flight = append(g.flight[:i:i], g.flight[i+1:]...)
+	if len(g.inFlight) > 0 {
+		i := g.pick(len(g.inFlight) - 1)
+		g.inFlight = append(g.inFlight[:i:i], g.inFlight[i+1:]...)
 	}
 }
 
-// checkKept fails when something acknowledged is missing after all faults have ended.
-func (g *group) checkKept(l *node) {
+// checkAcknowledged fails when something acknowledged is missing after all faults have ended.
+func (g *group) checkAcknowledged(l *testReplica) {
 	for index := range g.acked {
 		if index > l.Committed() {
 			g.t.Fatalf("acknowledged index %d is gone; the leader has committed %d", index, l.Committed())
@@ -123,7 +123,7 @@
 			rapid.Check(t, func(rt *rapid.T) {
 				g := newGroup(rt, rapid.Uint64().Draw(rt, "seed"), size)
 				g.run(scheduleSteps, true)
-				g.checkKept(g.heal())
+				g.checkAcknowledged(g.converge())
 				seen.add(g)
 			})
 			t.Logf("%+v", *seen)
@@ -131,12 +131,14 @@
 	}
 }
 
-type verdict struct{ reason string }
+type violation struct{ reason string }
 
-// catcher ends a schedule at the first broken promise.
-type catcher struct{}
+// panicReporter ends a schedule at the first broken promise.
+type panicReporter struct{}
 
-func (catcher) Fatalf(format string, args ...any) { panic(verdict{fmt.Sprintf(format, args...)}) }
+func (panicReporter) Fatalf(format string, args ...any) {
+	panic(violation{fmt.Sprintf(format, args...)})
+}
 
 // broken returns what broke in the first of so many schedules, or "".
 func broken(schedules uint64, run func(seed uint64)) string {
@@ -150,7 +152,7 @@
 
 func attempt(seed uint64, run func(seed uint64)) (reason string) {
 	defer func() {
-		if v, ok := recover().(verdict); ok {
+		if v, ok := recover().(violation); ok {
 			reason = v.reason
 		}
 	}()
@@ -163,10 +165,10 @@
 func TestNaiveIdentityLosesCommits(t *testing.T) {
 	is := is.New(t)
 	reason := broken(3000, func(seed uint64) {
-		g := newGroup(catcher{}, seed, 3)
+		g := newGroup(panicReporter{}, seed, 3)
 		g.naiveDisk = true
 		g.run(scheduleSteps, true)
-		g.checkKept(g.heal())
+		g.checkAcknowledged(g.converge())
 	})
 	t.Log(reason)
 	is.True(reason != "") // the naive identity must be caught, or the schedules are too tame
@@ -176,18 +178,18 @@
 // asks that one for its vote.
 func restartBetween(naive bool) func(seed uint64) {
 	return func(seed uint64) {
-		g := newGroup(catcher{}, seed, 3)
-		l := g.heal()
-		var others []*node
-		for _, n := range g.nodes {
+		g := newGroup(panicReporter{}, seed, 3)
+		l := g.converge()
+		var others []*testReplica
+		for _, n := range g.replicas {
 			if n != l {
 				others = append(others, n)
 			}
 		}
-		g.naiveQuiet = naive
+		g.naiveVote = naive
 		g.block(l, others[1], true)
 		for range 60 {
-			g.calm(5 * time.Millisecond)
+			g.runFor(5 * time.Millisecond)
 			g.boot(others[0])
 		}
 	}
--- a/core/replicator/snapshot_test.go
+++ b/core/replicator/snapshot_test.go
@@ -13,9 +13,9 @@
 // could vanish with the next loss, and the leader would offer entries for ever that the replica refuses.
 func TestLateSnapshotKeepsAcknowledgedEntries(t *testing.T) {
 	is := is.New(t)
-	g := newGroup(catcher{}, 1, 3)
-	n := g.nodes[1]
-	from := g.nodes[0].disk.self
+	g := newGroup(panicReporter{}, 1, 3)
+	n := g.replicas[1]
+	from := g.replicas[0].disk.self
 	var entries []*wire.Entry
 	for i := range uint64(4) {
 		entries = append(entries, &wire.Entry{Index: 2 + i, Term: 1})
