--- a/core/replicator/admission_test.go
+++ b/core/replicator/admission_test.go
@@ -9,7 +9,7 @@
 	"chervilrail.example/core/wire"
 )
 
-// add starts a replica with an empty disk under a name of its own.
+// add starts a replica with an empty disk under a new name.
 func (g *group) add(name string) *testReplica {
 	n := &testReplica{disk: &disk{self: g.newMember(name), vote: &wire.Vote{}}, clock: g.now, clockRate: 1000}
 	g.replicas = append(g.replicas, n)
@@ -17,7 +17,7 @@
 	return n
 }
 
-// voterNames returns the names of the voters as the leader has them.
+// voterNames returns the names of the voters in the leader's replica set.
 func (g *group) voterNames(l *testReplica) map[string]bool {
 	out := map[string]bool{}
 	for _, m := range l.voters() {
@@ -26,8 +26,8 @@
 	return out
 }
 
-// An instance is gone for good, and another one takes its place under a new address. Without its seat the group
-// would stand one loss closer to its end for ever.
+// An instance is lost permanently, and another one starts under a new address. Unless it gets the lost instance's vote,
+// the group permanently survives one loss less.
 func TestNewReplicaReplacesSilentVoter(t *testing.T) {
 	is := is.New(t)
 	g := newGroup(t, 1, 3)
@@ -35,7 +35,7 @@
 	g.replicas[2].up = false
 	newcomer := g.add("c9")
 	g.runFor(200 * time.Millisecond)
-	is.True(g.voterNames(g.leader())["c3"]) // not given away for a short absence
+	is.True(g.voterNames(g.leader())["c3"]) // not replaced after a short absence
 	g.runFor(4 * time.Second)
 	l := g.leader()
 	is.True(g.voterNames(l)["c9"])
@@ -45,8 +45,8 @@
 	is.Equal(newcomer.Committed(), l.Committed())
 }
 
-// The instance was only cut off, and comes back after its seat was given away. Its own log still counts it as a
-// voter, so it would campaign for ever and hear of no change.
+// An instance that was only cut off returns after its vote was given to another one. By its own log it still is a
+// voter, so it would campaign for ever and receive no changes.
 func TestReplacedReplicaRejoins(t *testing.T) {
 	is := is.New(t)
 	g := newGroup(t, 2, 3)
@@ -66,7 +66,7 @@
 	is.Equal(len(g.leader().voters()), 3)
 }
 
-// A newcomer knows one controller only, and that one does not lead.
+// A new replica knows one controller only, and that one does not lead.
 func TestFollowersForwardJoins(t *testing.T) {
 	is := is.New(t)
 	g := newGroup(t, 3, 3)
@@ -83,7 +83,8 @@
 	is.Equal(forwarded[0].GetFrom().GetName(), "c9")
 }
 
-// More instances than seats: those without one learn everything, and the group is no slower for them.
+// With more instances than voters, those without a vote still replicate everything and do not slow the group down; one
+// of them that stops is removed.
 func TestMoreReplicasThanVoters(t *testing.T) {
 	is := is.New(t)
 	g := newGroup(t, 4, 3)
--- a/core/replicator/election.go
+++ b/core/replicator/election.go
@@ -6,8 +6,8 @@
 	"chervilrail.example/core/wire"
 )
 
-// campaign asks for votes. The first pass asks without raising the term, so that a replica which was
-// cut off and comes back does not depose a leader that everyone else can hear.
+// campaign requests votes. The pre-vote round does not raise the term, so that a replica that was cut off and returns
+// does not depose a leader that the others can reach.
 func (r *Replica) campaign(now time.Time, role Role) {
 	r.role = role
 	r.leader = nil
@@ -72,7 +72,7 @@
 	r.heartbeat(now)
 }
 
-// syncPeers keeps one progress per other member of the newest replica set.
+// syncPeers keeps one progress for each other member of the newest replica set.
 func (r *Replica) syncPeers(now time.Time) {
 	present := map[memberID]bool{}
 	for _, m := range r.log.config().GetMembers() {
--- a/core/replicator/errors.go
+++ b/core/replicator/errors.go
@@ -6,7 +6,8 @@
 	"chervilrail.example/core/wire"
 )
 
-// NotLeaderError says that only the leader takes proposals, and who that may be.
+// NotLeaderError is returned for a proposal to a replica that does not lead. Leader is the leader if one is known, else
+// nil.
 type NotLeaderError struct {
 	Leader *wire.Member
 }
--- a/core/replicator/group_test.go
+++ b/core/replicator/group_test.go
@@ -10,7 +10,7 @@
 	"chervilrail.example/core/wire"
 )
 
-// disk is what survives a crash.
+// disk holds what survives a crash.
 type disk struct {
 	self     *wire.Member
 	group    uint64
@@ -37,7 +37,7 @@
 
 func (d *disk) last() uint64 { return d.snapshot.GetIndex() + uint64(len(d.entries)) }
 
-// testReplica is one replica of the fake group with its disk and its clock.
+// testReplica is one replica of the test group with its disk and its clock.
 type testReplica struct {
 	*Replica
 	disk *disk
@@ -50,7 +50,7 @@
 	applied   map[uint64]string
 }
 
-// group is a handful of replicas joined by a list of messages in flight.
+// group is a set of replicas connected by a list of messages in flight.
 type group struct {
 	t        reporter
 	random   *rand.Rand
@@ -62,9 +62,9 @@
 	chosen   map[uint64]string
 	acked    map[uint64]uint64
 	pending  map[uint64]uint64
-	// blocked holds the pairs of replicas between which nothing passes.
+	// blocked holds the pairs of replicas between which no message passes.
 	blocked map[[2]string]bool
-	// naive turns off what the test wants to see fail.
+	// The naive flags each disable a safeguard whose absence a test has to detect.
 	naiveDisk bool
 	naiveVote bool
 }
@@ -75,7 +75,7 @@
 	ReplaceAfter: 300 * time.Millisecond,
 }
 
-// reporter is what reports a broken promise.
+// reporter receives the report of a violated invariant.
 type reporter interface {
 	Fatalf(format string, args ...any)
 }
@@ -127,7 +127,7 @@
 	n.applied = map[uint64]string{}
 }
 
-// replaceDisk replaces a disk. The naive version keeps the old identity.
+// replaceDisk gives a replica an empty disk. The naive version keeps the old identity.
 func (g *group) replaceDisk(n *testReplica) {
 	m := g.newMember(n.disk.self.GetName())
 	if g.naiveDisk {
@@ -149,8 +149,8 @@
 	return c
 }
 
-// allVotersIntact reports whether every voter of the newest committed set still has its disk, so that the group
-// is meant to survive the loss of one more.
+// allVotersIntact reports whether every voter of the newest committed replica set still has its disk, so that the group
+// must survive the loss of one more.
 func (g *group) allVotersIntact() bool {
 	var newest *testReplica
 	for _, n := range g.replicas {
@@ -172,7 +172,7 @@
 	return voters == len(g.replicas) && newest.log.configIndex() <= newest.commit
 }
 
-// advance lets time pass; every clock runs at its own rate.
+// advance advances the time; every clock runs at its own rate.
 func (g *group) advance(d time.Duration) {
 	g.now = g.now.Add(d)
 	for _, n := range g.replicas {
@@ -185,7 +185,7 @@
 	g.checkLeases()
 }
 
-// processReady carries out a Ready; with crash, the replica dies between saving and sending.
+// processReady carries out a Ready; with crash, the replica crashes between saving and sending.
 func (g *group) processReady(n *testReplica, crash bool) {
 	for {
 		r := n.Ready()
@@ -268,7 +268,7 @@
 	}
 }
 
-// block cuts or restores the way between two replicas, both ways.
+// block cuts or restores the connection between two replicas in both directions.
 func (g *group) block(a, b *testReplica, cut bool) {
 	one, two := a.disk.self.GetName(), b.disk.self.GetName()
 	g.blocked[[2]string{one, two}] = cut
@@ -305,7 +305,7 @@
 	}
 }
 
-// converge lets everything run without faults until a leader holds its lease and all logs are equal.
+// converge runs without faults until a leader holds its lease and all logs are equal.
 func (g *group) converge() *testReplica {
 	g.blocked = map[[2]string]bool{}
 	for _, n := range g.replicas {
@@ -325,8 +325,8 @@
 	return nil
 }
 
-// deliverAll delivers until nothing is in flight; messages that answer each other for ever, without any
-// time passing, would keep the replicas and the network busy for nothing.
+// deliverAll delivers until nothing is in flight. It fails on messages that answer each other endlessly without any
+// time passing: they would keep the replicas and the network busy for nothing.
 func (g *group) deliverAll() {
 	const limit = 20_000
 	for range limit {
@@ -339,7 +339,7 @@
 	g.t.Fatalf("%d messages at one instant, the next from %s to %s: %s", limit, last.GetFrom().GetName(), last.GetTo().GetName(), last)
 }
 
-// runFor runs without faults for a while, but for what is cut or blocked.
+// runFor runs without further faults for a while; what is disconnected or blocked stays so.
 func (g *group) runFor(d time.Duration) {
 	for range d / (5 * time.Millisecond) {
 		g.deliverAll()
--- a/core/replicator/log.go
+++ b/core/replicator/log.go
@@ -6,7 +6,7 @@
 	"chervilrail.example/core/wire"
 )
 
-// entryLog is the log after the latest snapshot, with the replica sets that its entries carry.
+// entryLog holds the log after the latest snapshot, and the replica sets that its entries carry.
 type entryLog struct {
 	snapshot *wire.Snapshot
 	entries  []*wire.Entry
@@ -31,7 +31,7 @@
 	return j.snapshot.GetIndex() + uint64(len(j.entries))
 }
 
-// term returns the term of the entry at index, or 0 where the journal does not hold it.
+// term returns the term of the entry at index, or 0 if the log does not hold it.
 func (j *entryLog) term(index uint64) uint64 {
 	if index == j.snapshot.GetIndex() {
 		return j.snapshot.GetTerm()
@@ -72,7 +72,7 @@
 	j.configs = append(j.configs, indexedConfig{e.GetIndex(), config})
 }
 
-// truncate drops the entry at index and all after it.
+// truncate drops the entry at index and all later ones.
 func (j *entryLog) truncate(index uint64) {
 	j.entries = j.entries[:index-j.snapshot.GetIndex()-1]
 	for len(j.configs) > 0 && j.configs[len(j.configs)-1].index >= index {
--- a/core/replicator/membership.go
+++ b/core/replicator/membership.go
@@ -11,10 +11,11 @@
 	"chervilrail.example/core/wire"
 )
 
-// maxMembers bounds the replicas of a group, learners included; the leader sends to each.
+// maxMembers bounds the replicas of a group, learners included, since the leader sends to each of them.
 const maxMembers = 16
 
-// requestJoin announces a replica without a seat; the caller sends the message to every other controller.
+// requestJoin queues the join request of a replica without a vote; the caller sends the message to every other
+// controller.
 func (r *Replica) requestJoin() {
 	r.outbox = append(r.outbox, &wire.Message{
 		Kind:  wire.MessageKind_MESSAGE_JOIN,
@@ -23,8 +24,8 @@
 	})
 }
 
-// handleJoin passes a join on to the leader: a newcomer knows a few addresses only, and the leader may be at none
-// of them.
+// handleJoin records a join request on the leader; another replica forwards it to the leader. A new replica knows a few
+// addresses only, and none of them may be the leader's.
 func (r *Replica) handleJoin(m *wire.Message) {
 	if r.role == Leader {
 		r.joiners[idOf(m.GetFrom())] = m.GetFrom()
@@ -37,17 +38,17 @@
 	}
 }
 
-// handleNonMember lets a replica back in whose seat was given away while it was cut off. Its own log still counts
-// it as a voter, so it campaigns in vain and would never ask to join.
+// handleNonMember treats a message from a replica outside the replica set as a join request. A replica that was removed
+// while it was cut off still is a voter by its own log, so it campaigns in vain and would never request to join.
 func (r *Replica) handleNonMember(from *wire.Member) {
 	if !r.isMember(idOf(from)) {
 		r.handleJoin(&wire.Message{From: from})
 	}
 }
 
-// reconcileMembers makes at most one membership change at a time: a new disk is first a replica without
-// a vote, and gets the vote only when it durably holds everything committed. A disk that voted while
-// empty could elect a leader that lacks an acknowledged change.
+// reconcileMembers makes at most one membership change at a time. A new disk joins as a learner, and gets a vote only
+// when it durably holds everything committed: a disk that voted while empty could elect a leader that lacks an
+// acknowledged change.
 func (r *Replica) reconcileMembers(now time.Time) {
 	if r.commit < r.termStart || r.log.configIndex() > r.commit {
 		return
@@ -58,7 +59,8 @@
 	r.removeSilentLearner(now)
 }
 
-// promote gives a vote to a replica that has caught up, if a seat is free or falls free.
+// promote gives a vote to a learner that has caught up, if there are fewer than MaxVoters voters. It first removes the
+// member that the learner replaces, if any. It reports whether it changed the replica set.
 func (r *Replica) promote(now time.Time) bool {
 	for _, m := range r.log.config().GetMembers() {
 		match, recent := r.Match(now, m)
@@ -83,8 +85,9 @@
 	return false
 }
 
-// removeReplaced takes the seat of the learner's lost predecessor, or, with all seats taken, of a voter that has been
-// silent for long: a group that waits for an instance that is gone for good survives one loss less.
+// removeReplaced removes the former disk of a learner's replica name or, if there are MaxVoters voters, a voter that
+// has been silent for Timing.ReplaceAfter. A group that waits for an instance that never returns survives one loss
+// less.
 func (r *Replica) removeReplaced(now time.Time, learner *wire.Member) bool {
 	config := cloneConfig(r.log.config())
 	at := predecessor(config, learner)
@@ -99,14 +102,14 @@
 	return true
 }
 
-// predecessor finds another disk of the same replica name.
+// predecessor returns the index of another disk of the same replica name, or -1.
 func predecessor(c *wire.Config, m *wire.Member) int {
 	return slices.IndexFunc(c.GetMembers(), func(o *wire.Member) bool {
 		return o.GetName() == m.GetName() && o.GetIncarnation() != m.GetIncarnation()
 	})
 }
 
-// removeSilentLearner drops a replica without a vote that stopped answering; it joins again when it is back.
+// removeSilentLearner removes a learner that has stopped answering; it joins again when it is back.
 func (r *Replica) removeSilentLearner(now time.Time) {
 	at := slices.IndexFunc(r.log.config().GetMembers(), func(m *wire.Member) bool {
 		return !m.GetVoter() && r.silent(now, m)
@@ -146,8 +149,8 @@
 	return slices.ContainsFunc(r.log.config().GetMembers(), func(m *wire.Member) bool { return idOf(m) == k })
 }
 
-// mayJoin holds a newcomer off while another disk of its name still answers: two processes started
-// under one name by mistake must not push each other out in turn.
+// mayJoin refuses a new replica while another disk of its name still answers: two processes started under one name by
+// mistake must not replace each other in turn.
 func (r *Replica) mayJoin(now time.Time, j *wire.Member) bool {
 	at := predecessor(r.log.config(), j)
 	if at < 0 {
@@ -156,8 +159,8 @@
 	return r.silent(now, r.log.config().GetMembers()[at])
 }
 
-// silent reports whether a member has not answered this leader for the time after which it may be replaced,
-// counted from when the leader began to send to it.
+// silent reports whether a member has not answered this leader for Timing.ReplaceAfter, counted at the earliest from
+// when the leader began to send to it.
 func (r *Replica) silent(now time.Time, m *wire.Member) bool {
 	p, ok := r.peers[idOf(m)]
 	if !ok {
--- a/core/replicator/replica.go
+++ b/core/replicator/replica.go
@@ -1,5 +1,5 @@
-// Package replicator keeps one log of commands equal on several replicas. It is a pure
-// state machine: the caller feeds it times and messages, and carries out what Ready returns.
+// Package replicator keeps one log of commands equal on several replicas. It is a pure state machine: the caller passes
+// in times and messages, and carries out the work that Ready returns.
 package replicator
 
 import (
@@ -23,7 +23,7 @@
 	Leader
 )
 
-// String names the role for logs.
+// String returns the role's name for logs.
 func (r Role) String() string {
 	switch r {
 	case PreCandidate:
@@ -40,11 +40,12 @@
 const (
 	maxBatch    = 256
 	maxInflight = 8
-	// driftDivisor is the share of a lease given up to clocks that run at different rates: 1/50.
+	// driftDivisor is the divisor for the part of a lease that is deducted for clocks that run at different rates:
+	// 1/50.
 	driftDivisor = 50
 )
 
-// memberID tells two disks of the same replica name apart.
+// memberID distinguishes the disks of one replica name.
 type memberID struct {
 	name        string
 	incarnation uint64
@@ -58,7 +59,7 @@
 type Timing struct {
 	Election  time.Duration
 	Heartbeat time.Duration
-	// ReplaceAfter is how long a voter must be silent before a new disk of the same name takes its seat.
+	// ReplaceAfter is how long a member must be silent before it may be replaced or removed.
 	ReplaceAfter time.Duration
 }
 
@@ -68,7 +69,8 @@
 	Self   *wire.Member
 	Timing Timing
 	Random *rand.Rand
-	// MaxVoters is how many replicas vote. Others that join learn the log, and take over a seat that falls free.
+	// MaxVoters is how many replicas vote at most. Others that join replicate the log as learners, and get a vote when
+	// one becomes free.
 	MaxVoters int
 
 	role     Role
@@ -85,7 +87,7 @@
 
 	electionAt  time.Time
 	heartbeatAt time.Time
-	// noVoteUntil guards the leader's lease: until then no vote is given to anyone else.
+	// noVoteUntil protects the leader's lease: until then this replica votes for nobody else.
 	noVoteUntil time.Time
 	leaderSince time.Time
 	round       uint64
@@ -98,7 +100,7 @@
 	outbox          []*wire.Message
 }
 
-// progress is what a leader knows of another replica.
+// progress is what a leader records about another replica.
 type progress struct {
 	member   *wire.Member
 	next     uint64
@@ -112,7 +114,7 @@
 	resendAt time.Time
 }
 
-// Ready is the work that a step left for the caller, in this order: restore or save, send, apply.
+// Ready is the work that the caller has to carry out after a step, in this order: restore or save, send, apply.
 type Ready struct {
 	Vote     *wire.Vote
 	Snapshot *wire.Snapshot
@@ -121,7 +123,7 @@
 	Commits  []*wire.Entry
 }
 
-// Start recovers the replica from what its disk holds.
+// Start recovers the replica from the contents of its disk.
 func (r *Replica) Start(now time.Time, vote *wire.Vote, snapshot *wire.Snapshot, entries []*wire.Entry) {
 	r.log.reset(snapshot)
 	r.log.append(entries...)
@@ -133,31 +135,32 @@
 	r.saved = r.log.last()
 	r.firstUnsaved = r.saved + 1
 	r.joiners = map[memberID]*wire.Member{}
-	// A restarted replica has forgotten when it last heard the leader. If it voted at once, a second
-	// leader could arise inside the first one's lease and two controllers would grant the same limits.
+	// A restarted replica does not know when it last confirmed the leader. If it voted at once, a second leader could
+	// be elected within the first one's lease, and two controllers would grant the same limits.
 	r.noVoteUntil = now.Add(r.Timing.Election)
 	r.resetElectionTimer(now)
 }
 
-// Role returns what the replica does now.
+// Role returns the replica's current role.
 func (r *Replica) Role() Role { return r.role }
 
 // Term returns the current term.
 func (r *Replica) Term() uint64 { return r.term }
 
-// LeaderMember returns the leader as last heard, or nil.
+// LeaderMember returns the leader known to this replica, or nil.
 func (r *Replica) LeaderMember() *wire.Member { return r.leader }
 
 // Committed returns the highest index known to be committed.
 func (r *Replica) Committed() uint64 { return r.commit }
 
-// LeaderSince returns when this replica became leader.
+// LeaderSince returns when this replica last became leader.
 func (r *Replica) LeaderSince() time.Time { return r.leaderSince }
 
 // Members returns the newest replica set.
 func (r *Replica) Members() []*wire.Member { return r.log.config().GetMembers() }
 
-// Match returns how far a replica's disk is known to hold the log, and whether it answered lately.
+// Match returns the index up to which a replica's disk is known to hold the log, and whether the replica has answered
+// within the election timeout.
 func (r *Replica) Match(now time.Time, m *wire.Member) (uint64, bool) {
 	if idOf(m) == idOf(r.Self) {
 		return r.saved, true
@@ -169,8 +172,8 @@
 	return p.match, now.Sub(p.confirmed) < r.Timing.Election
 }
 
-// LeaseDeadline returns until when this leader may answer reads without asking anyone.
-// It is zero when the replica does not lead or has not yet committed an entry of its term.
+// LeaseDeadline returns until when this leader may answer reads without asking other replicas. It is zero when the
+// replica does not lead or has not yet committed an entry of its term.
 func (r *Replica) LeaseDeadline(now time.Time) time.Time {
 	if r.role != Leader || r.commit < r.termStart {
 		return time.Time{}
@@ -191,7 +194,8 @@
 	return base.Add(r.Timing.Election - r.Timing.Election/driftDivisor)
 }
 
-// Propose appends a command to the leader's log and returns its index and term.
+// Propose appends a command to the leader's log and returns its index and term, or a NotLeaderError if this replica
+// does not lead.
 func (r *Replica) Propose(data []byte) (uint64, uint64, error) {
 	if r.role != Leader {
 		return 0, 0, &NotLeaderError{Leader: r.leader}
@@ -200,7 +204,7 @@
 	return e.GetIndex(), e.GetTerm(), nil
 }
 
-// Flush sends what was proposed since the last heartbeat; call it once after a batch of proposals.
+// Flush sends the entries proposed since the last heartbeat; call it once after a batch of proposals.
 func (r *Replica) Flush(now time.Time) {
 	if r.role != Leader {
 		return
@@ -212,7 +216,7 @@
 	}
 }
 
-// Tick acts on every deadline that has passed.
+// Tick handles every deadline that has passed.
 func (r *Replica) Tick(now time.Time) {
 	if r.role == Leader {
 		r.tickLeader(now)
@@ -233,8 +237,8 @@
 	if now.Before(r.heartbeatAt) {
 		return
 	}
-	// A leader cut off from its quorum learns it only from its own clock: without this step it would
-	// go on accepting changes that can never commit, and callers would wait instead of asking elsewhere.
+	// A leader cut off from its quorum can detect this only by its own clock. Without this step it would go on
+	// accepting changes that can never commit, and callers would wait instead of asking another controller.
 	if r.quorumLost(now) {
 		r.becomeFollower(now, r.term, nil)
 		return
@@ -269,7 +273,7 @@
 	r.advanceCommit()
 }
 
-// Ready hands over the pending work and forgets it.
+// Ready returns the pending work and clears it.
 func (r *Replica) Ready() Ready {
 	var out Ready
 	if r.pendingSnapshot != nil {
@@ -293,7 +297,7 @@
 	return out
 }
 
-// MarkSaved tells the replica that everything up to index is durable on its own disk.
+// MarkSaved records that everything up to index is durable on the replica's own disk.
 func (r *Replica) MarkSaved(index uint64) {
 	r.saved = min(index, r.log.last())
 	if r.role == Leader {
@@ -326,14 +330,15 @@
 	}
 	sort.Slice(matches, func(i, j int) bool { return matches[i] > matches[j] })
 	index := matches[len(matches)/2]
-	// Only an entry of the own term is committed by counting; an older one could still be overwritten.
+	// Only an entry of the leader's own term is committed by counting replicas; an older one could still be
+	// overwritten.
 	if index > r.commit && r.log.term(index) == r.term {
 		r.commit = index
 	}
 }
 
-// others lists the progress of the other members in the order of the replica set, never of a map: equal
-// inputs must give equal outputs, or a schedule that failed could not be played again.
+// others returns the progress of the other members in the order of the replica set, never of a map: equal inputs must
+// give equal outputs, or a failed schedule could not be replayed.
 func (r *Replica) others() []*progress {
 	var out []*progress
 	for _, m := range r.log.config().GetMembers() {
--- a/core/replicator/replication.go
+++ b/core/replicator/replication.go
@@ -6,7 +6,7 @@
 	"chervilrail.example/core/wire"
 )
 
-// Step takes one message from another replica.
+// Step processes one message from another replica.
 func (r *Replica) Step(now time.Time, m *wire.Message) {
 	if !r.addressed(m) {
 		return
@@ -32,8 +32,8 @@
 	}
 }
 
-// addressed drops messages meant for another disk or group. A replica whose disk was replaced would
-// otherwise answer for the entries its old disk acknowledged, and a committed change could vanish.
+// addressed reports whether a message is meant for this disk and group. A replica whose disk was replaced would
+// otherwise answer for the entries that its old disk acknowledged, and a committed change could be lost.
 func (r *Replica) addressed(m *wire.Message) bool {
 	if m.GetFrom() == nil {
 		return false
@@ -50,7 +50,7 @@
 	return m.GetGroup() == r.Group
 }
 
-// sendAppend sends a replica what it lacks, or an empty heartbeat.
+// sendAppend sends a replica the entries it lacks, or an empty heartbeat.
 func (r *Replica) sendAppend(now time.Time, p *progress) {
 	if p.next <= r.log.snapshot.GetIndex() {
 		r.sendSnapshot(now, p)
@@ -96,7 +96,7 @@
 
 func (r *Replica) sendSnapshot(now time.Time, p *progress) {
 	if now.Before(p.resendAt) {
-		// The heartbeat still goes out, so that a replica that is catching up hears the leader.
+		// The heartbeat is still sent, so that a replica that is catching up keeps receiving messages of the leader.
 		r.send(p.member, &wire.Message{
 			Kind:  wire.MessageKind_MESSAGE_APPEND,
 			Term:  r.term,
@@ -114,7 +114,7 @@
 	})
 }
 
-// acceptLeader accepts the sender as leader, or reports that its term is over.
+// acceptLeader accepts the sender as leader, or rejects its message if its term is over.
 func (r *Replica) acceptLeader(now time.Time, m *wire.Message) bool {
 	if m.GetTerm() < r.term {
 		r.reply(m, &wire.Message{Reject: true, Hint: r.log.last()})
@@ -137,7 +137,7 @@
 		return
 	}
 	if m.GetIndex() < r.commit {
-		// Entries at or below the commit index are equal on both sides, so the answer is how far that goes.
+		// Entries at or below the commit index are equal on both sides; they are skipped, and the reply covers them.
 		r.acceptAfterCommit(m)
 		return
 	}
@@ -197,7 +197,7 @@
 	r.handleAccepted(now, p, m.GetIndex())
 }
 
-// recordConfirmation counts a lease from when the round was sent, never from when its answer came.
+// recordConfirmation counts a lease from when the round was sent, never from when its reply arrived.
 func (r *Replica) recordConfirmation(p *progress, round uint64) {
 	sent, ok := r.rounds[round]
 	if ok && sent.After(p.confirmed) {
@@ -213,8 +213,8 @@
 		return
 	}
 	if m.GetHint() < p.match {
-		// An old refusal, or a replica that lost what it acknowledged. Answering at once could go on for
-		// ever; the next heartbeat asks again.
+		// A late rejection, or a replica that lost what it acknowledged. An immediate retry could repeat endlessly; the
+		// next heartbeat retries.
 		return
 	}
 	p.next = max(p.match+1, min(m.GetHint()+1, r.log.last()+1))
--- a/core/replicator/schedule_test.go
+++ b/core/replicator/schedule_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-// TestMain fixes the seed, so that every run gives the same verdict; -rapid.seed chooses another.
+// TestMain fixes the seed, so that every run gives the same result; -rapid.seed selects another.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if flag.Lookup("rapid.seed").Value.String() == "0" {
@@ -23,7 +23,7 @@
 
 const scheduleSteps = 400
 
-// coverage tells whether the schedules did anything at all.
+// coverage counts what the schedules did, to show that they exercised the replicas at all.
 type coverage struct {
 	schedules, acked, serials, terms int
 }
@@ -37,7 +37,7 @@
 
 func (g *group) pick(most int) int { return g.random.IntN(most + 1) }
 
-// run plays one schedule: mostly time, messages and proposals, now and then a fault.
+// run executes one schedule: mostly time, messages and proposals, with an occasional fault.
 func (g *group) run(steps int, replaceDisks bool) {
 	for range steps {
 		n := g.replicas[g.pick(len(g.replicas)-1)]
@@ -74,7 +74,8 @@
 	}
 }
 
-// advanceAndDeliver lets a little time pass and delivers some of what is in flight, not always all or in order.
+// advanceAndDeliver advances the time a little and delivers some of the messages in flight, not always all of them or
+// in order.
 func (g *group) advanceAndDeliver(n *testReplica) {
 	g.advance(time.Duration(1+g.pick(14)) * time.Millisecond)
 	if n.up && n.Role() == Leader {
@@ -104,18 +105,18 @@
 	}
 }
 
-// checkAcknowledged fails when something acknowledged is missing after all faults have ended.
+// checkAcknowledged fails when an acknowledged entry is missing after all faults have ended.
 func (g *group) checkAcknowledged(l *testReplica) {
 	for index := range g.acked {
 		if index > l.Committed() {
-			g.t.Fatalf("acknowledged index %d is gone; the leader has committed %d", index, l.Committed())
+			g.t.Fatalf("acknowledged index %d is lost; the leader has committed %d", index, l.Committed())
 		}
 	}
 }
 
-// Messages are lost, doubled and reordered, replicas die between saving and sending, clocks run at
-// different rates, and disks are lost one after another, the next as soon as a repair is done. An operator
-// would see an accepted change vanish, or two controllers answer for the limits at once.
+// Messages are lost, duplicated and reordered, replicas crash between saving and sending, clocks run at different
+// rates, and disks are lost one after another, the next as soon as the group has recovered. Guards against the loss of
+// an accepted change, and against two controllers that grant limits at the same time.
 func TestSchedules(t *testing.T) {
 	for _, size := range []int{3, 5} {
 		t.Run(string(rune('0'+size)), func(t *testing.T) {
@@ -133,15 +134,15 @@
 
 type violation struct{ reason string }
 
-// panicReporter ends a schedule at the first broken promise.
+// panicReporter ends a schedule at the first violated invariant.
 type panicReporter struct{}
 
 func (panicReporter) Fatalf(format string, args ...any) {
 	panic(violation{fmt.Sprintf(format, args...)})
 }
 
-// broken returns what broke in the first of so many schedules, or "".
-func broken(schedules uint64, run func(seed uint64)) string {
+// firstViolation returns the first violation in the given number of schedules, or "".
+func firstViolation(schedules uint64, run func(seed uint64)) string {
 	for seed := range schedules {
 		if reason := attempt(seed, run); reason != "" {
 			return reason
@@ -160,22 +161,22 @@
 	return ""
 }
 
-// A replica whose disk was replaced comes back under its old identity and votes. Together with a replica
-// that missed the last changes it elects a leader without them, and accepted changes vanish.
-func TestNaiveIdentityLosesCommits(t *testing.T) {
+// A replica whose disk was replaced restarts under its old identity and votes. Together with a replica that missed the
+// last changes it elects a leader that lacks them, and accepted changes are lost.
+func TestReusedIdentityLosesCommits(t *testing.T) {
 	is := is.New(t)
-	reason := broken(3000, func(seed uint64) {
+	reason := firstViolation(3000, func(seed uint64) {
 		g := newGroup(panicReporter{}, seed, 3)
 		g.naiveDisk = true
 		g.run(scheduleSteps, true)
 		g.checkAcknowledged(g.converge())
 	})
 	t.Log(reason)
-	is.True(reason != "") // the naive identity must be caught, or the schedules are too tame
+	is.True(reason != "") // if the reused identity is not detected, the schedules exercise too little
 }
 
-// restartBetween has one follower confirm the leader and restart, while the other has lost the leader and
-// asks that one for its vote.
+// restartBetween makes one follower confirm the leader and restart, while the other follower has lost the leader and
+// requests the first one's vote.
 func restartBetween(naive bool) func(seed uint64) {
 	return func(seed uint64) {
 		g := newGroup(panicReporter{}, seed, 3)
@@ -195,10 +196,10 @@
 	}
 }
 
-// A replica that restarts votes at once although it confirmed a leader a moment ago. A second leader
-// arises while the first still answers, and both grant the same limit to different instances.
-func TestRestartedReplicaDoesNotVoteIntoALease(t *testing.T) {
+// A replica restarts and votes at once although it confirmed a leader a moment before. A second leader is elected while
+// the first one still answers, and both grant the same limit to different instances.
+func TestRestartedReplicaDoesNotVoteDuringLease(t *testing.T) {
 	is := is.New(t)
-	is.True(broken(50, restartBetween(true)) != "") // the naive version must double the lease
-	is.Equal(broken(50, restartBetween(false)), "")
+	is.True(firstViolation(50, restartBetween(true)) != "") // the naive version must yield two lease holders
+	is.Equal(firstViolation(50, restartBetween(false)), "")
 }
--- a/core/replicator/snapshot_test.go
+++ b/core/replicator/snapshot_test.go
@@ -8,9 +8,9 @@
 	"chervilrail.example/core/wire"
 )
 
-// A snapshot that was sent long ago arrives after the replica has stored and acknowledged entries beyond
-// it. Dropping those would take back an acknowledgement that a leader may have counted: an accepted change
-// could vanish with the next loss, and the leader would offer entries for ever that the replica refuses.
+// A delayed snapshot arrives after the replica has stored and acknowledged entries beyond it. Dropping those would
+// revoke an acknowledgement that a leader may have counted: an accepted change could be lost with the next failure, and
+// the leader would endlessly offer entries that the replica rejects.
 func TestLateSnapshotKeepsAcknowledgedEntries(t *testing.T) {
 	is := is.New(t)
 	g := newGroup(panicReporter{}, 1, 3)
