--- a/controller/internal/consenter/apply.go
+++ b/controller/internal/consenter/apply.go
@@ -21,20 +21,20 @@
 		if err := proto.Unmarshal(e.GetData(), command); err == nil {
 			result = c.state.Apply(command)
 			c.logChange(command, result)
-			c.noteRouting(command, result)
-			c.noteQuotas(time.Now(), e.GetTerm(), command, result)
+			c.recordRouting(command, result)
+			c.handleQuotaCommand(time.Now(), e.GetTerm(), command, result)
 		}
 	}
-	p, ok := c.waiting[e.GetIndex()]
+	proposal, ok := c.proposals[e.GetIndex()]
 	if !ok {
 		return
 	}
-	delete(c.waiting, e.GetIndex())
-	if p.term != e.GetTerm() {
-		p.reply <- answer{err: &ProposalReplacedError{}}
+	delete(c.proposals, e.GetIndex())
+	if proposal.term != e.GetTerm() {
+		proposal.reply <- answer{err: &ProposalReplacedError{}}
 		return
 	}
-	p.reply <- answer{result: result}
+	proposal.reply <- answer{result: result}
 }
 
 func (c *Consenter) logChange(command *wire.Command, result *wire.Result) {
@@ -47,9 +47,9 @@
 		"accepted", v.GetAccepted(), "inforce", v.GetNumber(), "winner", v.GetWinner(), "reason", v.GetReason())
 }
 
-// noticeRole acts on a change of leadership. A deposed leader can't know whether its proposals commit,
-// so whoever waits is told that the outcome is unknown, and asks again under the same id.
-func (c *Consenter) noticeRole(now time.Time) {
+// handleRoleChange acts on a change of leadership. A deposed leader cannot know whether its proposals commit, so their
+// callers get an OutcomeUnknownError and retry under the same id.
+func (c *Consenter) handleRoleChange(now time.Time) {
 	role := c.replica.Role()
 	if role == c.lastRole {
 		return
@@ -61,28 +61,28 @@
 		c.grants = granter.Granter{Lease: c.Lease, Since: now}
 		c.grants.SetLimits(c.limits)
 		c.roster.reset(now)
-		c.quotas.lead(c, now)
+		c.quotas.start(c, now)
 		return
 	}
 	c.quotas.allotter = nil
-	c.abandon()
+	c.failProposals()
 }
 
-func (c *Consenter) abandon() {
-	for index, p := range c.waiting {
-		delete(c.waiting, index)
+func (c *Consenter) failProposals() {
+	for index, p := range c.proposals {
+		delete(c.proposals, index)
 		p.reply <- answer{err: &OutcomeUnknownError{}}
 	}
 }
 
-func (c *Consenter) noticeCatalogue() {
-	if c.state.Number() == c.number {
+func (c *Consenter) updateLimits() {
+	if c.state.Number() == c.catalogueNumber {
 		return
 	}
-	c.number = c.state.Number()
+	c.catalogueNumber = c.state.Number()
 	parsed, err := cataloguer.Parse("catalogue", c.state.Catalogue())
 	if err != nil {
-		_ = level.Error(c.Logger).Log("msg", "catalogue in force can't be read", "number", c.number, "err", err)
+		_ = level.Error(c.Logger).Log("msg", "failed to parse catalogue in force", "number", c.catalogueNumber, "err", err)
 		return
 	}
 	c.limits = parsed.Limits()
--- a/controller/internal/consenter/consenter.go
+++ b/controller/internal/consenter/consenter.go
@@ -1,5 +1,5 @@
-// Package consenter is the service that owns a controller's control state. One goroutine feeds the
-// replicator, the state machine and the granter; requests reach it as events.
+// Package consenter is the service that owns a controller's control state. One goroutine drives the replicator, the
+// state machine and the granter; requests reach it as events.
 package consenter
 
 import (
@@ -29,7 +29,7 @@
 	compactAfter = 8192
 )
 
-// Sender carries messages to other controllers without blocking.
+// Sender sends messages to other controllers without blocking.
 type Sender interface {
 	Send(address netip.AddrPort, m *wire.Message)
 }
@@ -38,16 +38,16 @@
 type Consenter struct {
 	Folder string
 	Member *wire.Member
-	// Peers are the controllers known from the settings, by name.
+	// Peers are the controllers named in the settings, by name.
 	Peers map[string]netip.AddrPort
-	// MaxVoters is how many controllers vote.
+	// MaxVoters is how many controllers vote at most.
 	MaxVoters int
-	// Bootstrap makes this controller one of the group's founders if its disk is empty: the group then is exactly
-	// Peers. It may only be set while the whole system starts for the first time, on all founders alike.
+	// Bootstrap makes this controller one of the group's founders if its disk is empty: the group then consists of
+	// exactly Peers. It may only be set while the whole system starts for the first time, on all founders alike.
 	Bootstrap bool
 	Timing    replicator.Timing
 	Lease     time.Duration
-	// Quotas say how exact organisations' quotas have to be.
+	// Quotas are the accuracy requirements for organisations' quotas.
 	Quotas quoter.Terms
 	Sender Sender
 	// OnRoutingChange is called after the routing state has changed; it must not block.
@@ -55,29 +55,29 @@
 	Logger          log.Logger
 	Fatal           chan<- error
 
-	replica   replicator.Replica
-	store     storer.Storer
-	state     keeper.Keeper
-	grants    granter.Granter
-	roster    roster
-	waiting   map[uint64]*pending
-	committed uint64
-	lastRole  replicator.Role
-	number    uint64
-	limits    []cataloguer.Limit
-	quotas    quotas
+	replica         replicator.Replica
+	store           storer.Storer
+	state           keeper.Keeper
+	grants          granter.Granter
+	roster          roster
+	proposals       map[uint64]*proposal
+	committed       uint64
+	lastRole        replicator.Role
+	catalogueNumber uint64
+	limits          []cataloguer.Limit
+	quotas          quotas
 
 	events  chan event
 	done    chan struct{}
 	cancel  context.CancelFunc
-	healthy atomic.Pointer[Summary]
+	summary atomic.Pointer[Summary]
 	routing atomic.Pointer[Routing]
 	// revision is the log index that last changed the routing state.
 	revision uint64
 }
 
-// pending is a proposal whose answer someone waits for.
-type pending struct {
+// proposal is a proposed command whose result a caller waits for.
+type proposal struct {
 	term  uint64
 	reply chan<- answer
 }
@@ -90,17 +90,17 @@
 // Name implements kernel.Service.
 func (c *Consenter) Name() string { return "consensus" }
 
-// Start recovers the state from disk and begins to take part.
+// Start recovers the state from disk and starts the control goroutine.
 func (c *Consenter) Start(context.Context, kernel.Finder) error {
 	c.store.Folder = c.Folder
 	recovered, err := c.store.Open()
 	if err != nil {
 		return err
 	}
-	if err := c.found(recovered); err != nil {
+	if err := c.bootstrap(recovered); err != nil {
 		return err
 	}
-	if err := c.identify(recovered); err != nil {
+	if err := c.ensureIdentity(recovered); err != nil {
 		return err
 	}
 	c.recover(time.Now(), recovered)
@@ -109,15 +109,16 @@
 	}
 	c.events = make(chan event, queueLength)
 	c.done = make(chan struct{})
-	c.waiting = map[uint64]*pending{}
+	c.proposals = map[uint64]*proposal{}
 	ctx, cancel := context.WithCancel(context.Background())
 	c.cancel = cancel
 	go c.run(ctx)
 	return nil
 }
 
-// identify gives an empty disk a new incarnation, so that it can never answer for a lost one.
-func (c *Consenter) identify(recovered *storer.Recovered) error {
+// ensureIdentity gives an empty disk a new incarnation, so that it can never answer for a lost disk. It returns an
+// IdentityError if the data folder belongs to another replica.
+func (c *Consenter) ensureIdentity(recovered *storer.Recovered) error {
 	if recovered.Identity == nil {
 		recovered.Identity = &wire.Identity{Self: &wire.Member{
 			Name:        c.Member.GetName(),
@@ -156,7 +157,7 @@
 	return c.state.Restore(snapshot.GetData())
 }
 
-// Stop ends the control goroutine.
+// Stop ends the control goroutine and closes the store.
 func (c *Consenter) Stop(ctx context.Context) error {
 	if c.cancel == nil {
 		return nil
@@ -170,7 +171,8 @@
 	return c.store.Close()
 }
 
-// Health implements kernel.Service.
+// Health implements kernel.Service. It fails if the control goroutine has not run for an election timeout, or if no
+// leader is known.
 func (c *Consenter) Health() error {
 	s := c.Summary()
 	if s == nil || time.Since(s.At) > c.Timing.Election {
--- a/controller/internal/consenter/errors.go
+++ b/controller/internal/consenter/errors.go
@@ -2,7 +2,8 @@
 
 import "fmt"
 
-// NotLeaderError says that another controller must be asked; what was asked for certainly did not happen.
+// NotLeaderError reports that another controller must be asked, and that the request certainly had no effect. Leader
+// and Address are empty if no leader is known.
 type NotLeaderError struct {
 	Leader  string
 	Address string
@@ -16,7 +17,7 @@
 	return fmt.Sprintf("%s at %s leads", e.Leader, e.Address)
 }
 
-// ProposalReplacedError says that a proposal was replaced by another and certainly did not happen.
+// ProposalReplacedError reports that a proposal was replaced by another one and certainly had no effect.
 type ProposalReplacedError struct{}
 
 // Error implements error.
@@ -24,7 +25,7 @@
 	return "the proposal was replaced after a change of leader"
 }
 
-// OutcomeUnknownError says that a proposal may or may not happen; ask again under the same id.
+// OutcomeUnknownError reports that a proposal may or may not take effect; retry it under the same id.
 type OutcomeUnknownError struct{}
 
 // Error implements error.
@@ -32,13 +33,13 @@
 	return "the outcome is unknown; ask again with the same id"
 }
 
-// StalledError says that the control goroutine does not run.
+// StalledError reports that the control goroutine does not run.
 type StalledError struct{}
 
 // Error implements error.
 func (e *StalledError) Error() string { return "control state is not running" }
 
-// WrongGroupError says that the caller belongs to another group of controllers.
+// WrongGroupError reports that the caller belongs to another group of controllers.
 type WrongGroupError struct {
 	Want uint64
 	Have uint64
@@ -49,7 +50,7 @@
 	return fmt.Sprintf("this controller belongs to group %x, not %x", e.Have, e.Want)
 }
 
-// IdentityError says that a data folder belongs to another replica.
+// IdentityError reports that a data folder belongs to another replica.
 type IdentityError struct {
 	Folder string
 	Stored string
--- a/controller/internal/consenter/events.go
+++ b/controller/internal/consenter/events.go
@@ -39,18 +39,18 @@
 	}
 	index, term, err := c.replica.Propose(data)
 	if err != nil {
-		e.reply <- answer{err: c.leaderError()}
+		e.reply <- answer{err: c.notLeaderError()}
 		return
 	}
-	c.waiting[index] = &pending{term: term, reply: e.reply}
+	c.proposals[index] = &proposal{term: term, reply: e.reply}
 }
 
-func (c *Consenter) leaderError() *NotLeaderError {
+func (c *Consenter) notLeaderError() *NotLeaderError {
 	m := c.replica.LeaderMember()
 	return &NotLeaderError{Leader: m.GetName(), Address: m.GetAddress()}
 }
 
-// callEvent runs a call in the control goroutine.
+// callEvent runs a function in the control goroutine.
 type callEvent struct {
 	run  func(now time.Time)
 	done chan struct{}
@@ -63,18 +63,18 @@
 
 func (c *Consenter) renew(now time.Time, r *wire.RenewRequest) (*wire.RenewResponse, error) {
 	if !c.leads(now) {
-		return nil, c.leaderError()
+		return nil, c.notLeaderError()
 	}
 	if r.GetGroup() != 0 && r.GetGroup() != c.replica.Group {
 		return nil, &WrongGroupError{Want: r.GetGroup(), Have: c.replica.Group}
 	}
-	node := r.GetNode()
-	id := granter.HolderID{Name: node.GetName(), Incarnation: node.GetIncarnation()}
+	instance := r.GetNode()
+	id := granter.HolderID{Name: instance.GetName(), Incarnation: instance.GetIncarnation()}
 	grants, err := c.grants.Renew(now, id, r.GetSequence(), r.GetHoldings())
 	if err != nil {
 		return nil, err
 	}
-	c.roster.note(now, now.Add(c.Lease+c.Lease/leaseMarginParts), node)
+	c.roster.renew(now, now.Add(c.Lease+c.Lease/leaseMarginDivisor), instance)
 	response := &wire.RenewResponse{
 		Sequence: r.GetSequence(),
 		Group:    c.replica.Group,
@@ -83,7 +83,7 @@
 		Roster:   c.roster.version,
 		Lease:    int64(c.Lease),
 	}
-	if node.GetNumber() < c.state.Number() {
+	if instance.GetNumber() < c.state.Number() {
 		response.Catalogue = c.state.Catalogue()
 	}
 	if r.GetRoster() != c.roster.version {
@@ -102,7 +102,7 @@
 		Limits: c.limitStatus(now),
 		Leads:  c.leads(now),
 	}
-	out.Settled = out.GetLeads() && now.Sub(c.replica.LeaderSince()) > c.Lease+c.Lease/leaseMarginParts
+	out.Settled = out.GetLeads() && now.Sub(c.replica.LeaderSince()) > c.Lease+c.Lease/leaseMarginDivisor
 	for _, m := range c.replica.Members() {
 		match, recent := c.replica.Match(now, m)
 		out.Replicas = append(out.Replicas, &wire.ReplicaStatus{
@@ -120,12 +120,12 @@
 
 func (c *Consenter) get(now time.Time) (*wire.GetResponse, error) {
 	if !c.leads(now) {
-		return nil, c.leaderError()
+		return nil, c.notLeaderError()
 	}
 	return &wire.GetResponse{Number: c.state.Number(), Catalogue: c.state.Catalogue()}, nil
 }
 
-func (c *Consenter) post(ctx context.Context, e event) error {
+func (c *Consenter) enqueue(ctx context.Context, e event) error {
 	select {
 	case c.events <- e:
 		return nil
@@ -136,16 +136,16 @@
 	}
 }
 
-// Deliver takes messages of other controllers.
+// Deliver passes messages of other controllers to the control goroutine.
 func (c *Consenter) Deliver(ctx context.Context, messages []*wire.Message) error {
-	return c.post(ctx, deliverEvent{messages})
+	return c.enqueue(ctx, deliverEvent{messages})
 }
 
-// Propose runs a command through the log. A LeaderError says that it certainly did not run; after an
-// UnknownError or the end of ctx it may still.
+// Propose runs a command through the replicated log and returns its result. After a NotLeaderError or a
+// ProposalReplacedError it certainly did not run; after an OutcomeUnknownError it may still run.
 func (c *Consenter) Propose(ctx context.Context, command *wire.Command) (*wire.Result, error) {
 	reply := make(chan answer, 1)
-	if err := c.post(ctx, proposeEvent{command, reply}); err != nil {
+	if err := c.enqueue(ctx, proposeEvent{command, reply}); err != nil {
 		return nil, err
 	}
 	select {
@@ -158,10 +158,11 @@
 	}
 }
 
-// call runs a function in the control goroutine. After an error it may still run; what it writes must not be read then.
+// call runs a function in the control goroutine. After an error the function may still run, so what it writes must not
+// be read then.
 func (c *Consenter) call(ctx context.Context, run func(now time.Time)) error {
 	done := make(chan struct{})
-	if err := c.post(ctx, callEvent{run, done}); err != nil {
+	if err := c.enqueue(ctx, callEvent{run, done}); err != nil {
 		return err
 	}
 	select {
@@ -174,31 +175,32 @@
 	}
 }
 
-// Renew answers an entry instance's heartbeat.
+// Renew processes the heartbeat of an entry instance, which renews its lease and its grants. Only the leader does so;
+// others return a NotLeaderError. An instance of another group gets a WrongGroupError.
 func (c *Consenter) Renew(ctx context.Context, r *wire.RenewRequest) (*wire.RenewResponse, error) {
 	var response *wire.RenewResponse
 	var err error
-	if fault := c.call(ctx, func(now time.Time) { response, err = c.renew(now, r) }); fault != nil {
-		return nil, fault
+	if callErr := c.call(ctx, func(now time.Time) { response, err = c.renew(now, r) }); callErr != nil {
+		return nil, callErr
 	}
 	return response, err
 }
 
-// Status describes what this controller knows, leading or not.
+// Status returns the state of the group as this controller knows it, leading or not.
 func (c *Consenter) Status(ctx context.Context) (*wire.StatusResponse, error) {
 	var response *wire.StatusResponse
-	if fault := c.call(ctx, func(now time.Time) { response = c.status(now) }); fault != nil {
-		return nil, fault
+	if callErr := c.call(ctx, func(now time.Time) { response = c.status(now) }); callErr != nil {
+		return nil, callErr
 	}
 	return response, nil
 }
 
-// Get reads the catalogue in force under the read lease.
+// Get returns the catalogue in force, read under the leader's lease.
 func (c *Consenter) Get(ctx context.Context) (*wire.GetResponse, error) {
 	var response *wire.GetResponse
 	var err error
-	if fault := c.call(ctx, func(now time.Time) { response, err = c.get(now) }); fault != nil {
-		return nil, fault
+	if callErr := c.call(ctx, func(now time.Time) { response, err = c.get(now) }); callErr != nil {
+		return nil, callErr
 	}
 	return response, err
 }
--- a/controller/internal/consenter/founder.go
+++ b/controller/internal/consenter/founder.go
@@ -12,13 +12,13 @@
 )
 
 // founderIncarnation is the incarnation of every founder's disk. Founders must agree on the group without having
-// spoken to each other, so it can't be drawn by lot; a later disk of the same name draws another.
+// communicated, so it cannot be random; a later disk of the same name gets a random one.
 const founderIncarnation = 1
 
-// found writes the group's first membership on an empty disk. Each founder derives the same bytes from the same
-// settings, so that they need no order of start. A disk that is empty later, when Found is no longer set, joins as
-// a newcomer: founding again would start a second group and undo every accepted change.
-func (c *Consenter) found(recovered *storer.Recovered) error {
+// bootstrap writes the group's first membership to an empty disk. Each founder derives the same bytes from the same
+// settings, so that they can start in any order. A disk that is empty later, when Bootstrap is no longer set, joins as
+// a new replica: bootstrapping again would create a second group and undo every accepted change.
+func (c *Consenter) bootstrap(recovered *storer.Recovered) error {
 	_, founder := c.Peers[c.Member.GetName()]
 	if !c.Bootstrap || !founder || recovered.Identity != nil || len(recovered.Entries) > 0 {
 		return nil
--- a/controller/internal/consenter/loop.go
+++ b/controller/internal/consenter/loop.go
@@ -18,7 +18,7 @@
 	for {
 		select {
 		case <-ctx.Done():
-			c.abandon()
+			c.failProposals()
 			return
 		case e := <-c.events:
 			e.handle(c, time.Now())
@@ -26,16 +26,16 @@
 		case <-ticker.C:
 			c.replica.Tick(time.Now())
 		}
-		if err := c.settle(); err != nil {
-			_ = level.Error(c.Logger).Log("msg", "control state can't go on", "err", err)
-			c.abandon()
+		if err := c.processReady(); err != nil {
+			_ = level.Error(c.Logger).Log("msg", "control goroutine failed", "err", err)
+			c.failProposals()
 			c.Fatal <- err
 			return
 		}
 	}
 }
 
-// drain takes what queued up meanwhile, so that one sync serves many proposals.
+// drain handles the events that have queued up, so that one sync to disk serves many proposals.
 func (c *Consenter) drain() {
 	for range queueLength {
 		select {
@@ -47,8 +47,8 @@
 	}
 }
 
-// settle saves, sends and applies until nothing is left to do.
-func (c *Consenter) settle() error {
+// processReady saves, sends and applies until the replica has no work left, and then updates what depends on its state.
+func (c *Consenter) processReady() error {
 	now := time.Now()
 	c.replica.Flush(now)
 	for {
@@ -64,9 +64,9 @@
 			c.apply(e)
 		}
 	}
-	c.noticeRole(now)
-	c.noticeCatalogue()
-	c.noticeQuotas(now)
+	c.handleRoleChange(now)
+	c.updateLimits()
+	c.syncQuotas(now)
 	c.publishRouting()
 	c.summarise(now)
 	return c.compact()
@@ -97,8 +97,8 @@
 	return nil
 }
 
-// saveGroup remembers the group on first contact: a replica that forgot it could join another group's
-// log after a restart.
+// saveGroup saves the group once the replica has learned it: without it, a replica could join another group's log after
+// a restart.
 func (c *Consenter) saveGroup() error {
 	if c.roster.group == c.replica.Group {
 		return nil
@@ -119,7 +119,7 @@
 	}
 }
 
-// address prefers the settings, so that a replica which moved to another address is found again.
+// address prefers the address in the settings, so that a replica that moved to another address is reachable again.
 func (c *Consenter) address(m *wire.Member) (netip.AddrPort, bool) {
 	if address, ok := c.Peers[m.GetName()]; ok {
 		return address, true
--- a/controller/internal/consenter/quotas.go
+++ b/controller/internal/consenter/quotas.go
@@ -14,65 +14,68 @@
 )
 
 const (
-	// quotaLease is how long parts of quotas hold while no controller can be reached. It outlasts a change of leader and most
-	// cuts; what an entry instance held that is lost for good is missing for as long.
+	// quotaLease is how long parts of quotas stay valid while no controller can be reached. It outlasts a change of
+	// leader and most network partitions; the parts of an entry instance that is lost permanently are unavailable for
+	// as long.
 	quotaLease = 20 * time.Second
-	// pruneEvery is how often entry instances are looked for that are gone for good.
+	// pruneEvery is the interval at which entry instances that are lost permanently are removed as holders, and the
+	// least time between two proposals to list the same one.
 	pruneEvery = time.Second
-	// stretchEvery is the least time between two proposals to stretch organisations, so that one serves many.
+	// stretchEvery is the least time between two proposals to stretch organisations, so that one proposal covers many.
 	stretchEvery = 50 * time.Millisecond
 )
 
-// quotas are the parts of organisations' quotas while this controller leads.
+// quotas holds the allotment of organisations' quotas while this controller leads. An organisation is stretched while
+// the parts of its quota may add up to the whole quota.
 type quotas struct {
 	allotter *quoter.Allotter
-	// applied is the term of the last applied entry. Before the first one of its own, a leader may not have applied all that
-	// was listed before.
+	// applied is the term of the last applied entry. Until it is the leader's own term, the leader may not have applied
+	// all earlier changes of the holders.
 	applied   uint64
 	plan      *wire.Plan
 	holders   []*wire.QuotaHolder
 	stretched []string
-	// listing holds the entry instances whose listing this leader has proposed, by when.
-	listing map[string]time.Time
-	pruneAt time.Time
-	// stretchAt is when organisations may next be stretched.
+	// proposedAt is when this leader last proposed to list an entry instance as a holder, by name.
+	proposedAt map[string]time.Time
+	pruneAt    time.Time
+	// stretchAt is when the next proposal to stretch organisations may be made.
 	stretchAt time.Time
 }
 
-// lead begins to allot anew.
-func (q *quotas) lead(c *Consenter, now time.Time) {
+// start creates a new allotter for the current term.
+func (q *quotas) start(c *Consenter, now time.Time) {
 	q.allotter = &quoter.Allotter{
 		Terms: c.Quotas, Term: c.replica.Term(), Since: now, Lease: quotaLease, Distrust: c.Timing.Election,
 	}
-	q.listing = map[string]time.Time{}
-	q.follow(c.state.Plan(), c.state.Holders(), c.state.Stretched())
+	q.proposedAt = map[string]time.Time{}
+	q.update(c.state.Plan(), c.state.Holders(), c.state.Stretched())
 }
 
-func (q *quotas) follow(plan *wire.Plan, holders []*wire.QuotaHolder, stretched []string) {
+func (q *quotas) update(plan *wire.Plan, holders []*wire.QuotaHolder, stretched []string) {
 	q.plan, q.holders, q.stretched = plan, holders, stretched
 	q.allotter.Follow(plan, holders, stretched)
 }
 
-// noticeQuotas follows the replicated state.
-func (c *Consenter) noticeQuotas(now time.Time) {
+// syncQuotas passes changes of the replicated state to the allotter.
+func (c *Consenter) syncQuotas(now time.Time) {
 	q := &c.quotas
 	if q.allotter == nil {
 		return
 	}
 	if q.allotter.Term != c.replica.Term() {
-		q.lead(c, now)
+		q.start(c, now)
 	}
 	plan, holders, stretched := c.state.Plan(), c.state.Holders(), c.state.Stretched()
 	if plan != q.plan || !slices.Equal(holders, q.holders) || !slices.Equal(stretched, q.stretched) {
-		q.follow(plan, holders, stretched)
+		q.update(plan, holders, stretched)
 	}
 	if c.leads(now) {
-		c.tendQuotas(now)
+		c.proposeQuotaChanges(now)
 	}
 }
 
-// tendQuotas proposes what has to be replicated before it may be relied on.
-func (c *Consenter) tendQuotas(now time.Time) {
+// proposeQuotaChanges proposes the changes that have to be replicated before the allotter may rely on them.
+func (c *Consenter) proposeQuotaChanges(now time.Time) {
 	q := &c.quotas
 	if names := q.allotter.Stretching(); len(names) > 0 && !now.Before(q.stretchAt) {
 		q.stretchAt = now.Add(stretchEvery)
@@ -90,14 +93,14 @@
 	}
 }
 
-// proposeOwn proposes a command for whose result nobody waits; if it is lost, it is proposed again.
+// proposeOwn proposes a command for whose result no caller waits; if it is lost, it is proposed again.
 func (c *Consenter) proposeOwn(command *wire.Command) {
 	data, err := proto.Marshal(command)
 	if err == nil {
 		_, _, err = c.replica.Propose(data)
 	}
 	if err != nil {
-		_ = level.Warn(c.Logger).Log("msg", "command on quotas not proposed", "err", err)
+		_ = level.Warn(c.Logger).Log("msg", "quota command not proposed", "err", err)
 	}
 }
 
@@ -105,42 +108,42 @@
 	q := &c.quotas
 	term := c.replica.Term()
 	if !c.leads(now) || q.allotter == nil || q.allotter.Term != term || q.applied != term {
-		return nil, c.leaderError()
+		return nil, c.notLeaderError()
 	}
 	response, err := q.allotter.Allot(now, r)
 	var unlisted *quoter.UnlistedError
 	if errors.As(err, &unlisted) {
-		c.list(now, r.GetHolder())
+		c.proposeHolder(now, r.GetHolder())
 	}
 	return response, err
 }
 
-// list proposes an entry instance as a holder, once in a while until it is listed.
-func (c *Consenter) list(now time.Time, h *wire.QuotaHolder) {
-	if h.GetName() == "" || now.Before(c.quotas.listing[h.GetName()].Add(pruneEvery)) {
+// proposeHolder proposes to list an entry instance as a holder, at most once per pruneEvery until it is listed.
+func (c *Consenter) proposeHolder(now time.Time, h *wire.QuotaHolder) {
+	if h.GetName() == "" || now.Before(c.quotas.proposedAt[h.GetName()].Add(pruneEvery)) {
 		return
 	}
-	c.quotas.listing[h.GetName()] = now
+	c.quotas.proposedAt[h.GetName()] = now
 	c.proposeOwn(&wire.Command{Holder: &wire.HolderChange{Holder: h}})
 }
 
-// noteQuotas takes up an applied command on quotas.
-func (c *Consenter) noteQuotas(now time.Time, term uint64, command *wire.Command, result *wire.Result) {
+// handleQuotaCommand processes an applied command on quotas.
+func (c *Consenter) handleQuotaCommand(now time.Time, term uint64, command *wire.Command, result *wire.Result) {
 	if change := command.GetHolder(); change != nil {
-		c.noteHolder(now, term, change)
+		c.handleHolderChange(now, term, change)
 	}
 	if change := command.GetStretch(); change != nil {
-		c.noteStretch(now, term, change, result.GetChanged())
+		c.handleStretchChange(now, term, change, result.GetChanged())
 	}
 }
 
-// noteHolder takes up a listing that was applied.
-func (c *Consenter) noteHolder(now time.Time, term uint64, change *wire.HolderChange) {
+// handleHolderChange processes an applied change of the holders.
+func (c *Consenter) handleHolderChange(now time.Time, term uint64, change *wire.HolderChange) {
 	q := &c.quotas
 	if q.allotter == nil {
 		return
 	}
-	c.noticeQuotas(now)
+	c.syncQuotas(now)
 	if !change.GetGone() && term == c.replica.Term() {
 		q.allotter.New(change.GetHolder())
 	}
@@ -148,13 +151,13 @@
 		"incarnation", change.GetHolder().GetIncarnation(), "gone", change.GetGone(), "holders", len(q.holders))
 }
 
-// noteStretch takes up a change of the stretched organisations that was applied.
-func (c *Consenter) noteStretch(now time.Time, term uint64, change *wire.StretchChange, changed []string) {
+// handleStretchChange processes an applied change of the stretched organisations.
+func (c *Consenter) handleStretchChange(now time.Time, term uint64, change *wire.StretchChange, changed []string) {
 	q := &c.quotas
 	if q.allotter == nil {
 		return
 	}
-	c.noticeQuotas(now)
+	c.syncQuotas(now)
 	if term == c.replica.Term() {
 		q.allotter.Stretched(change, changed)
 	}
@@ -162,12 +165,13 @@
 		"on", change.GetOn(), "changed", len(changed), "stretched", len(q.stretched))
 }
 
-// Allot answers an entry instance that asks for parts of quotas.
+// Allot returns the parts of quotas for an entry instance that requests them. Only the leader does so; others return a
+// NotLeaderError.
 func (c *Consenter) Allot(ctx context.Context, r *wire.AllotRequest) (*wire.AllotResponse, error) {
 	var response *wire.AllotResponse
 	var err error
-	if fault := c.call(ctx, func(now time.Time) { response, err = c.allot(now, r) }); fault != nil {
-		return nil, fault
+	if callErr := c.call(ctx, func(now time.Time) { response, err = c.allot(now, r) }); callErr != nil {
+		return nil, callErr
 	}
 	return response, err
 }
--- a/controller/internal/consenter/roster.go
+++ b/controller/internal/consenter/roster.go
@@ -10,49 +10,54 @@
 )
 
 const (
-	// leaseMarginParts is added to a lease for clocks that run at different rates: 1/50.
-	leaseMarginParts = 50
-	// rememberLost is how long a silent entry instance is still shown to operators.
-	rememberLost = time.Hour
+	// leaseMarginDivisor is the divisor for the part of a lease that is added for clocks that run at different rates:
+	// 1/50.
+	leaseMarginDivisor = 50
+	// lostRetention is how long an entry instance whose lease has ended is still shown to operators.
+	lostRetention = time.Hour
 )
 
 // roster is the leader's list of entry instances.
 type roster struct {
-	group   uint64
-	version uint64
-	nodes   map[string]*member
+	// group is the id of the controllers' group as last saved to disk.
+	group     uint64
+	version   uint64
+	instances map[string]*rosterEntry
 }
 
-type member struct {
-	node *wire.Node
-	// until ends the member's lease: after it the instance refuses work by itself.
-	until time.Time
-	lost  bool
+// rosterEntry is an entry instance and its lease.
+type rosterEntry struct {
+	instance *wire.Node
+	// leaseEnd is the end of the lease; after it, the instance refuses work by itself.
+	leaseEnd time.Time
+	lost     bool
 }
 
-// reset starts a new leader's list under versions that no former leader used lately.
+// reset clears the list for a new leader. Its versions start at the current time in nanoseconds, so that they do not
+// repeat those that a former leader used recently.
 func (r *roster) reset(now time.Time) {
 	r.version = uint64(now.UnixNano())
-	r.nodes = map[string]*member{}
+	r.instances = map[string]*rosterEntry{}
 }
 
-func (r *roster) note(now, until time.Time, n *wire.Node) {
-	if r.nodes == nil {
-		r.nodes = map[string]*member{}
+// renew records a renewal of an instance's lease. An incarnation that was leaving stays so.
+func (r *roster) renew(now, until time.Time, n *wire.Node) {
+	if r.instances == nil {
+		r.instances = map[string]*rosterEntry{}
 	}
-	m, ok := r.nodes[n.GetName()]
-	if ok && m.node.GetIncarnation() == n.GetIncarnation() && m.node.GetLeaving() {
+	m, ok := r.instances[n.GetName()]
+	if ok && m.instance.GetIncarnation() == n.GetIncarnation() && m.instance.GetLeaving() {
 		n.Leaving = true
 	}
-	if !ok || m.lost || !alike(m.node, n) {
+	if !ok || m.lost || !unchanged(m.instance, n) {
 		r.version++
 	}
-	r.nodes[n.GetName()] = &member{node: n, until: until}
+	r.instances[n.GetName()] = &rosterEntry{instance: n, leaseEnd: until}
 	r.expire(now)
 }
 
-// alike ignores what changes with every renewal.
-func alike(a, b *wire.Node) bool {
+// unchanged reports whether two states are equal except for the fields that change with every renewal.
+func unchanged(a, b *wire.Node) bool {
 	c := proto.CloneOf(a)
 	c.Number = b.GetNumber()
 	c.Spare = b.GetSpare()
@@ -60,21 +65,21 @@
 }
 
 func (r *roster) expire(now time.Time) {
-	for name, m := range r.nodes {
-		if now.Before(m.until) {
+	for name, m := range r.instances {
+		if now.Before(m.leaseEnd) {
 			continue
 		}
 		if !m.lost {
 			m.lost = true
 			r.version++
 		}
-		if now.Sub(m.until) > rememberLost {
-			delete(r.nodes, name)
+		if now.Sub(m.leaseEnd) > lostRetention {
+			delete(r.instances, name)
 		}
 	}
 }
 
-// live returns the members whose lease goes on.
+// live returns the instances whose lease has not ended.
 func (r *roster) live(now time.Time) []*wire.Node {
 	var out []*wire.Node
 	for _, n := range r.all(now) {
@@ -85,12 +90,12 @@
 	return out
 }
 
-// all returns every remembered member, lost ones marked.
+// all returns every instance in the list, with those whose lease has ended marked lost.
 func (r *roster) all(now time.Time) []*wire.Node {
 	r.expire(now)
-	out := make([]*wire.Node, 0, len(r.nodes))
-	for _, m := range r.nodes {
-		n := proto.CloneOf(m.node)
+	out := make([]*wire.Node, 0, len(r.instances))
+	for _, m := range r.instances {
+		n := proto.CloneOf(m.instance)
 		n.Lost = m.lost
 		out = append(out, n)
 	}
@@ -100,8 +105,8 @@
 
 func (r *roster) count(now time.Time) int {
 	live := 0
-	for _, m := range r.nodes {
-		if now.Before(m.until) {
+	for _, m := range r.instances {
+		if now.Before(m.leaseEnd) {
 			live++
 		}
 	}
--- a/controller/internal/consenter/routing.go
+++ b/controller/internal/consenter/routing.go
@@ -11,13 +11,13 @@
 
 // Routing is the replicated routing state as this controller has applied it. It is immutable.
 type Routing struct {
-	// Revision is the log index that last changed the state; it orders the pictures of all controllers.
+	// Revision is the log index that last changed the state; it orders the states of all controllers.
 	Revision uint64
 	Plan     *wire.Plan
 	// PlanWithoutKeys is the plan without the organisations' keys.
 	PlanWithoutKeys *wire.Plan
 	Evacuated       []string
-	// Members are the controllers, Leader is the name of the one that leads, or empty.
+	// Members are the controllers, Leader is the name of the leading one, or empty.
 	Members []*wire.Member
 	Leader  string
 }
@@ -33,7 +33,7 @@
 	return out
 }
 
-// LeaderAddress returns where the leader takes calls of other controllers, or "".
+// LeaderAddress returns the address at which the leader accepts calls of other controllers, or "".
 func (r *Routing) LeaderAddress() string {
 	for _, m := range r.Members {
 		if m.GetName() == r.Leader {
@@ -51,8 +51,8 @@
 	return &Routing{}
 }
 
-// noteRouting logs a decision on the routing state and remembers where it stands in the log.
-func (c *Consenter) noteRouting(command *wire.Command, result *wire.Result) {
+// recordRouting logs a change of the routing state and records its log index as the revision.
+func (c *Consenter) recordRouting(command *wire.Command, result *wire.Result) {
 	switch {
 	case command.GetPlan() != nil:
 		v := result.GetPlan()
@@ -67,7 +67,7 @@
 	c.revision = c.committed
 }
 
-// publishRouting makes a changed state visible to the goroutines that answer calls.
+// publishRouting makes a changed routing state visible to other goroutines and calls OnRoutingChange.
 func (c *Consenter) publishRouting() {
 	next := &Routing{
 		Revision:  c.revision,
@@ -80,15 +80,15 @@
 	if old != nil && old.Revision == next.Revision && old.Leader == next.Leader && slices.Equal(old.Members, next.Members) {
 		return
 	}
-	next.PlanWithoutKeys = sealed(old, next.Plan)
+	next.PlanWithoutKeys = withoutKeys(old, next.Plan)
 	c.routing.Store(next)
 	if c.OnRoutingChange != nil {
 		c.OnRoutingChange()
 	}
 }
 
-// sealed returns a plan without keys, the one made before if the plan is the same.
-func sealed(old *Routing, plan *wire.Plan) *wire.Plan {
+// withoutKeys returns a plan without the organisations' keys. It reuses the previous one if the plan is the same.
+func withoutKeys(old *Routing, plan *wire.Plan) *wire.Plan {
 	if old != nil && old.Plan == plan {
 		return old.PlanWithoutKeys
 	}
--- a/controller/internal/consenter/summary.go
+++ b/controller/internal/consenter/summary.go
@@ -6,7 +6,7 @@
 	"chervilrail.example/core/wire"
 )
 
-// Summary is what metrics and health checks read without entering the control goroutine.
+// Summary holds what metrics and health checks read without entering the control goroutine.
 type Summary struct {
 	Leads           bool
 	Leader          string
@@ -20,10 +20,10 @@
 }
 
 // Summary returns the newest summary, or nil before the first.
-func (c *Consenter) Summary() *Summary { return c.healthy.Load() }
+func (c *Consenter) Summary() *Summary { return c.summary.Load() }
 
 func (c *Consenter) summarise(now time.Time) {
-	if last := c.healthy.Load(); last != nil && now.Sub(last.At) < tickEvery {
+	if last := c.summary.Load(); last != nil && now.Sub(last.At) < tickEvery {
 		return
 	}
 	s := &Summary{
@@ -39,7 +39,7 @@
 	if s.Leads {
 		s.Limits = c.limitStatus(now)
 	}
-	c.healthy.Store(s)
+	c.summary.Store(s)
 }
 
 func (c *Consenter) limitStatus(now time.Time) []*wire.LimitStatus {
@@ -54,7 +54,7 @@
 	return out
 }
 
-// leads reports whether this controller may answer now: it leads and its quorum confirmed that lately.
+// leads reports whether this controller leads and its lease, which a quorum confirmed, has not ended.
 func (c *Consenter) leads(now time.Time) bool {
 	return now.Before(c.replica.LeaseDeadline(now))
 }
--- a/core/replicator/election.go
+++ b/core/replicator/election.go
@@ -17,7 +17,7 @@
 		kind = wire.MessageKind_MESSAGE_VOTE
 		r.term++
 		r.votedFor = r.Self
-		r.voteChanged = true
+		r.voteUnsaved = true
 	}
 	for _, m := range r.voters() {
 		if idOf(m) == idOf(r.Self) {
@@ -98,7 +98,7 @@
 	if term > r.term {
 		r.term = term
 		r.votedFor = nil
-		r.voteChanged = true
+		r.voteUnsaved = true
 	}
 	r.role = Follower
 	r.leader = leader
@@ -150,7 +150,7 @@
 	grant := m.GetTerm() == r.term && mayGrant && r.role == Follower && r.upToDate(m)
 	if grant {
 		r.votedFor = m.GetFrom()
-		r.voteChanged = true
+		r.voteUnsaved = true
 		r.resetElectionTimer(now)
 	}
 	r.send(m.GetFrom(), &wire.Message{
--- a/core/replicator/replica.go
+++ b/core/replicator/replica.go
@@ -91,10 +91,14 @@
 	noVoteUntil time.Time
 	leaderSince time.Time
 	round       uint64
-	rounds      map[uint64]time.Time
-	termStart   uint64
-
-	voteChanged     bool
+	// rounds holds when each recent heartbeat round was sent.
+	rounds map[uint64]time.Time
+	// termStart is the index of the first entry of this leader's term.
+	termStart uint64
+
+	// voteUnsaved is set when the vote record has to be saved with the next Ready.
+	voteUnsaved bool
+	// firstUnsaved is the index of the first entry that Ready has not returned yet.
 	firstUnsaved    uint64
 	pendingSnapshot *wire.Snapshot
 	outbox          []*wire.Message
@@ -284,9 +288,9 @@
 		out.Entries = r.log.slice(r.firstUnsaved, r.log.last())
 		r.firstUnsaved = r.log.last() + 1
 	}
-	if r.voteChanged || len(out.Entries) > 0 {
+	if r.voteUnsaved || len(out.Entries) > 0 {
 		out.Vote = &wire.Vote{Term: r.term, Choice: r.votedFor, Commit: r.commit}
-		r.voteChanged = false
+		r.voteUnsaved = false
 	}
 	out.Messages = r.outbox
 	r.outbox = nil
--- a/core/replicator/replication.go
+++ b/core/replicator/replication.go
@@ -261,6 +261,6 @@
 	r.applied = s.GetIndex()
 	r.saved = s.GetIndex()
 	r.firstUnsaved = s.GetIndex() + 1
-	r.voteChanged = true
+	r.voteUnsaved = true
 	r.reply(m, &wire.Message{Index: s.GetIndex()})
 }
