--- a/controller/internal/consenter/events.go
+++ b/controller/internal/consenter/events.go
@@ -74,7 +74,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c.roster.renew(now, now.Add(c.Lease+c.Lease/leaseMarginDivisor), instance)
+	c.roster.renewLease(now, now.Add(c.Lease+c.Lease/leaseMarginDivisor), instance)
 	response := &wire.RenewResponse{
 		Sequence: r.GetSequence(),
 		Group:    c.replica.Group,
--- a/controller/internal/consenter/roster.go
+++ b/controller/internal/consenter/roster.go
@@ -40,8 +40,8 @@
 	r.instances = map[string]*rosterEntry{}
 }
 
-// renew records a renewal of an instance's lease. An incarnation that was leaving stays so.
-func (r *roster) renew(now, until time.Time, n *wire.Node) {
+// renewLease records a renewal of an instance's lease. An incarnation that was leaving stays so.
+func (r *roster) renewLease(now, leaseEnd time.Time, n *wire.Node) {
 	if r.instances == nil {
 		r.instances = map[string]*rosterEntry{}
 	}
@@ -52,7 +52,7 @@
 	if !ok || m.lost || !unchanged(m.instance, n) {
 		r.version++
 	}
-	r.instances[n.GetName()] = &rosterEntry{instance: n, leaseEnd: until}
+	r.instances[n.GetName()] = &rosterEntry{instance: n, leaseEnd: leaseEnd}
 	r.expire(now)
 }
 
