--- a/controller/internal/consenter/consenter.go
+++ b/controller/internal/consenter/consenter.go
@@ -48,7 +48,7 @@
 	Timing    replicator.Timing
 	Lease     time.Duration
 	// Quotas are the accuracy requirements for organisations' quotas.
-	Quotas quoter.Terms
+	Quotas quoter.Tolerance
 	Sender Sender
 	// OnRoutingChange is called after the routing state has changed; it must not block.
 	OnRoutingChange func()
--- a/controller/internal/consenter/quotas.go
+++ b/controller/internal/consenter/quotas.go
@@ -45,7 +45,7 @@
 // start creates a new allotter for the current term.
 func (q *quotas) start(c *Consenter, now time.Time) {
 	q.allotter = &quoter.Allotter{
-		Terms: c.Quotas, Term: c.replica.Term(), Since: now, Lease: quotaLease, Distrust: c.Timing.Election,
+		Tolerance: c.Quotas, Term: c.replica.Term(), ElectedAt: now, Lease: quotaLease, Holdoff: c.Timing.Election,
 	}
 	q.proposedAt = map[string]time.Time{}
 	q.update(c.state.Plan(), c.state.Holders(), c.state.Stretched())
@@ -53,7 +53,7 @@
 
 func (q *quotas) update(plan *wire.Plan, holders []*wire.QuotaHolder, stretched []string) {
 	q.plan, q.holders, q.stretched = plan, holders, stretched
-	q.allotter.Follow(plan, holders, stretched)
+	q.allotter.Update(plan, holders, stretched)
 }
 
 // syncQuotas passes changes of the replicated state to the allotter.
@@ -77,7 +77,7 @@
 // proposeQuotaChanges proposes the changes that have to be replicated before the allotter may rely on them.
 func (c *Consenter) proposeQuotaChanges(now time.Time) {
 	q := &c.quotas
-	if names := q.allotter.Stretching(); len(names) > 0 && !now.Before(q.stretchAt) {
+	if names := q.allotter.ToStretch(); len(names) > 0 && !now.Before(q.stretchAt) {
 		q.stretchAt = now.Add(stretchEvery)
 		c.proposeOwn(&wire.Command{Stretch: &wire.StretchChange{Organisations: names, On: true}})
 	}
@@ -85,10 +85,10 @@
 		return
 	}
 	q.pruneAt = now.Add(pruneEvery)
-	for _, h := range q.allotter.Gone(now) {
+	for _, h := range q.allotter.Expired(now) {
 		c.proposeOwn(&wire.Command{Holder: &wire.HolderChange{Holder: h, Gone: true}})
 	}
-	if names := q.allotter.Relaxing(); len(names) > 0 {
+	if names := q.allotter.ToRelax(); len(names) > 0 {
 		c.proposeOwn(&wire.Command{Stretch: &wire.StretchChange{Organisations: names}})
 	}
 }
@@ -145,7 +145,7 @@
 	}
 	c.syncQuotas(now)
 	if !change.GetGone() && term == c.replica.Term() {
-		q.allotter.New(change.GetHolder())
+		q.allotter.MarkNew(change.GetHolder())
 	}
 	_ = level.Info(c.Logger).Log("msg", "holder of quotas", "holder", change.GetHolder().GetName(),
 		"incarnation", change.GetHolder().GetIncarnation(), "gone", change.GetGone(), "holders", len(q.holders))
@@ -159,7 +159,7 @@
 	}
 	c.syncQuotas(now)
 	if term == c.replica.Term() {
-		q.allotter.Stretched(change, changed)
+		q.allotter.ApplyStretch(change, changed)
 	}
 	_ = level.Info(c.Logger).Log("msg", "quotas stretched", "organisations", len(change.GetOrganisations()),
 		"on", change.GetOn(), "changed", len(changed), "stretched", len(q.stretched))
--- a/core/dealer/dealer.go
+++ b/core/partitioner/partitioner.go
@@ -1,7 +1,7 @@
-// Package dealer divides the slots of targets among entry instances, so that each sends only into slots
+// Package partitioner divides the slots of targets among entry instances, so that each sends only into slots
 // of its own. Every instance computes the same division from the same lists; while the lists differ for a
 // moment a target may get more than its slots, and sheds it as not run.
-package dealer
+package partitioner
 
 import (
 	"sort"
@@ -22,15 +22,15 @@
 	Region string
 }
 
-// Partners are the entry instances that share targets, sorted once for any number of them.
-type Partners struct {
+// Members are the entry instances that share targets, sorted once for any number of them.
+type Members struct {
 	all      []string
 	byRegion map[string][]string
 }
 
-// NewPartners lists the instances that take part.
-func NewPartners(instances []Instance) *Partners {
-	p := &Partners{byRegion: map[string][]string{}}
+// NewMembers lists the instances that take part.
+func NewMembers(instances []Instance) *Members {
+	p := &Members{byRegion: map[string][]string{}}
 	for _, in := range instances {
 		p.all = append(p.all, in.Name)
 		p.byRegion[in.Region] = append(p.byRegion[in.Region], in.Name)
@@ -43,7 +43,7 @@
 }
 
 // near returns the sorted names of those who share a region's slots.
-func (p *Partners) near(region string) []string {
+func (p *Members) near(region string) []string {
 	if names := p.byRegion[region]; len(names) > 0 {
 		return names
 	}
@@ -56,10 +56,10 @@
 	hash   uint64
 }
 
-// Deal returns how many slots of each target belong to the instance, in the order of targets. The
+// Partition returns how many slots of each target belong to the instance, in the order of targets. The
 // slots of a region go to the instances there, or to all where the region has none. Where there are
 // fewer slots than instances, several share one.
-func Deal(self string, partners *Partners, targets []Target) []int32 {
+func Partition(self string, partners *Members, targets []Target) []int32 {
 	out := make([]int32, len(targets))
 	byRegion := map[string][]slot{}
 	for i, u := range targets {
@@ -73,8 +73,8 @@
 	return out
 }
 
-// Holder returns the instance that alone sends to a target, of those in its region if there are any.
-func Holder(target string, partners *Partners, region string) string {
+// Owner returns the instance that alone sends to a target, of those in its region if there are any.
+func Owner(target string, partners *Members, region string) string {
 	return First(target, partners.near(region))
 }
 
--- a/core/placer/assigner.go
+++ b/core/placer/assigner.go
@@ -10,21 +10,21 @@
 // announceTime is in which the targets that are there announce themselves to a system that has just started.
 const announceTime = 2 * time.Second
 
-// Ask is the question where a request should go, put to the instance that answers for its object.
-type Ask struct {
+// AssignRequest is the question where a request should go, put to the instance that answers for its object.
+type AssignRequest struct {
 	Object string
 	// Route is what the object is of; objects of one route ask for about the same work.
 	Route string
 	// Hint is the target where the asker last saw the object, or empty.
 	Hint string
-	// Cold is what a run of the object at a target that does not have it warm is expected to take.
-	Cold time.Duration
+	// ColdTime is what a run of the object at a target that does not have it warm is expected to take.
+	ColdTime time.Duration
 	// Regions that may serve the request; empty allows all.
 	Regions []string
 }
 
-// Place is the answer to an Ask.
-type Place struct {
+// Assignment is the answer to an Ask.
+type Assignment struct {
 	// Target is empty if none may be used.
 	Target string
 	// Route is what the object is of, Version grows with each move of it.
@@ -35,10 +35,10 @@
 	WarmAt time.Time
 	// Reason is a single word for logs: known, hint, new, joined, region, crowded or awaited.
 	Reason string
-	// First is set for the request that makes the object's first run at the target.
-	First bool
-	// Settled is set when the object's place changed, or was not known to this instance.
-	Settled bool
+	// FirstRun is set for the request that makes the object's first run at the target.
+	FirstRun bool
+	// Changed is set when the object's place changed, or was not known to this instance.
+	Changed bool
 }
 
 // assigner keeps the targets of objects: of those for which this instance answers, and, as others tell, of all that the
@@ -76,14 +76,14 @@
 	placedAt time.Time
 	warmAt   time.Time
 	// ask is the last question for the object, with an empty name if there was none.
-	ask Ask
+	ask AssignRequest
 }
 
-// ObjectOf is what an object is called where its name would be too long.
-func ObjectOf(name string) uint64 { return xxhash.Sum64String(name) }
+// ObjectHash is what an object is called where its name would be too long.
+func ObjectHash(name string) uint64 { return xxhash.Sum64String(name) }
 
-// Own tells which objects this instance answers for, as one of so many, the position-th of them.
-func (p *Placer) Own(owns func(object uint64) bool, position, of int) {
+// SetOwnership tells which objects this instance answers for, as one of so many, the position-th of them.
+func (p *Placer) SetOwnership(owns func(object uint64) bool, position, of int) {
 	a := &p.assigner
 	a.owns = owns
 	a.offset, a.of = float64(position)/float64(max(1, of)), of
@@ -96,11 +96,11 @@
 }
 
 // Assign says where a request for an object goes for which this instance answers.
-func (p *Placer) Assign(now time.Time, ask Ask) Place {
+func (p *Placer) Assign(now time.Time, ask AssignRequest) Assignment {
 	a := &p.assigner
-	object := ObjectOf(ask.Object)
+	object := ObjectHash(ask.Object)
 	found, ok := a.objects[object]
-	if !ok || !p.Holds(now, found.target, ask.Regions) {
+	if !ok || !p.Eligible(now, found.target, ask.Regions) {
 		return p.assign(now, object, ask)
 	}
 	found.ask = ask
@@ -108,19 +108,19 @@
 }
 
 // place is the answer to a request for an object that has its place.
-func (o *assigned) place(now time.Time) Place {
-	place := Place{Target: o.target, Reason: "known"}
+func (o *assigned) place(now time.Time) Assignment {
+	place := Assignment{Target: o.target, Reason: "known"}
 	if now.Before(o.warmAt) {
 		place.WarmAt = o.warmAt
 	}
 	return place
 }
 
-// Known is an object's place as this instance was told or decided itself, false if it has to be asked for.
-func (p *Placer) Known(now time.Time, object uint64, regions []string) (Place, bool) {
+// Lookup is an object's place as this instance was told or decided itself, false if it has to be asked for.
+func (p *Placer) Lookup(now time.Time, object uint64, regions []string) (Assignment, bool) {
 	found, ok := p.assigner.objects[object]
-	if !ok || !p.Holds(now, found.target, regions) {
-		return Place{}, false
+	if !ok || !p.Eligible(now, found.target, regions) {
+		return Assignment{}, false
 	}
 	return found.place(now), true
 }
@@ -134,8 +134,8 @@
 	return target < oldTarget
 }
 
-// Learn takes what another instance decided, or what this one did in an earlier run.
-func (p *Placer) Learn(now time.Time, object uint64, target, route string, version uint64) {
+// RecordAssignment takes what another instance decided, or what this one did in an earlier run.
+func (p *Placer) RecordAssignment(now time.Time, object uint64, target, route string, version uint64) {
 	a := &p.assigner
 	if old, ok := a.objects[object]; ok && !Supersedes(version, target, old.version, old.target) {
 		return
@@ -144,41 +144,41 @@
 }
 
 // assign gives an object a target: the one where the asker saw it, else the one that has most room.
-func (p *Placer) assign(now time.Time, object uint64, ask Ask) Place {
+func (p *Placer) assign(now time.Time, object uint64, ask AssignRequest) Assignment {
 	a := &p.assigner
 	if old, ok := a.objects[object]; ok && ask.Hint == "" {
 		ask.Hint = old.target
 	}
-	if p.Holds(now, ask.Hint, ask.Regions) {
+	if p.Eligible(now, ask.Hint, ask.Regions) {
 		place := a.put(now, object, ask, ask.Hint, "hint")
-		place.First = false
+		place.FirstRun = false
 		a.objects[object].warmAt = now
 		return place
 	}
 	if p.awaited(now, ask.Hint) {
-		return Place{Target: ask.Hint, Reason: "awaited"}
+		return Assignment{Target: ask.Hint, Reason: "awaited"}
 	}
 	target := p.emptiest(p.region(now, ask), now, object, ask)
 	if target == nil {
-		return Place{}
+		return Assignment{}
 	}
 	return p.give(now, object, ask, target, "new")
 }
 
 // give puts an object at a target that does not have it warm.
-func (p *Placer) give(now time.Time, object uint64, ask Ask, target *Target, reason string) Place {
+func (p *Placer) give(now time.Time, object uint64, ask AssignRequest, target *Target, reason string) Assignment {
 	target.expect(now, p.assigner.demand)
 	return p.assigner.put(now, object, ask, target.Name, reason)
 }
 
-func (a *assigner) put(now time.Time, object uint64, ask Ask, target, reason string) Place {
-	next := &assigned{target: target, route: ask.Route, version: 1, placedAt: now, warmAt: now.Add(ask.Cold), ask: ask}
+func (a *assigner) put(now time.Time, object uint64, ask AssignRequest, target, reason string) Assignment {
+	next := &assigned{target: target, route: ask.Route, version: 1, placedAt: now, warmAt: now.Add(ask.ColdTime), ask: ask}
 	if old, ok := a.objects[object]; ok {
 		next.version = old.version + 1
 	}
 	a.set(object, next)
-	return Place{
-		Target: target, Route: ask.Route, Reason: reason, Version: next.version, First: true, Settled: true,
+	return Assignment{
+		Target: target, Route: ask.Route, Reason: reason, Version: next.version, FirstRun: true, Changed: true,
 	}
 }
 
@@ -220,8 +220,8 @@
 	return p.byName[target.Name] == target && !target.down(now) && inRegions(target.Region, regions)
 }
 
-// Holds reports whether a target may be used for an object that it has warm.
-func (p *Placer) Holds(now time.Time, target string, regions []string) bool {
+// Eligible reports whether a target may be used for an object that it has warm.
+func (p *Placer) Eligible(now time.Time, target string, regions []string) bool {
 	found, ok := p.byName[target]
 	return ok && p.keeps(now, found, regions)
 }
--- a/core/placer/assigner_test.go
+++ b/core/placer/assigner_test.go
@@ -12,7 +12,9 @@
 
 const coldRun = 900 * time.Millisecond
 
-func question(object string) Ask { return Ask{Object: object, Route: "view", Cold: coldRun} }
+func question(object string) AssignRequest {
+	return AssignRequest{Object: object, Route: "view", ColdTime: coldRun}
+}
 
 // boards are fourteen targets in three regions, two of them where a third of the callers are.
 func boards() []Spec {
@@ -20,7 +22,7 @@
 	for region, n := range map[string]int{"few": 2, "many": 6, "most": 6} {
 		for i := range n {
 			out = append(out, Spec{
-				Name: fmt.Sprintf("%s-%d", region, i), Incarnation: 1, Region: region, Zone: region, Slots: 9, Own: 1,
+				Name: fmt.Sprintf("%s-%d", region, i), Incarnation: 1, Region: region, Zone: region, Slots: 9, OwnSlots: 1,
 			})
 		}
 	}
@@ -28,9 +30,9 @@
 }
 
 func owner(region string, specs []Spec, position, of int) *Placer {
-	p := &Placer{Region: region, Zone: region, Far: 24 * time.Millisecond}
+	p := &Placer{Region: region, Zone: region, InterRegionRTT: 24 * time.Millisecond}
 	p.Update(start.Add(-time.Minute), specs, of)
-	p.Own(func(uint64) bool { return true }, position, of)
+	p.SetOwnership(func(uint64) bool { return true }, position, of)
 	return p
 }
 
@@ -55,7 +57,7 @@
 	is.Equal(second.WarmAt, start.Add(coldRun))
 	k := ticket(0)
 	k.Key, k.Host, k.WarmAt = "a", second.Target, second.WarmAt
-	k.Cold, k.Aim, k.Deadline = coldRun, start.Add(600*time.Millisecond), start.Add(4*time.Second)
+	k.ColdTime, k.SoftDeadline, k.Deadline = coldRun, start.Add(600*time.Millisecond), start.Add(4*time.Second)
 	_, decided := p.Offer(start.Add(100*time.Millisecond), k)
 	is.True(!decided)
 	is.Equal(len(p.Tick(start.Add(coldRun-time.Millisecond))), 0)
@@ -71,7 +73,7 @@
 	p := owner("many", boards(), 0, 1)
 	k := ticket(0)
 	k.Key, k.Host, k.WarmAt = "a", "many-0", start.Add(coldRun)
-	k.Cold, k.Aim, k.Deadline = coldRun, start.Add(400*time.Millisecond), start.Add(time.Second)
+	k.ColdTime, k.SoftDeadline, k.Deadline = coldRun, start.Add(400*time.Millisecond), start.Add(time.Second)
 	decision, decided := p.Offer(start, k)
 	is.True(decided && decision.Target == nil)
 	is.Equal(decision.Retry, start.Add(coldRun))
@@ -167,7 +169,7 @@
 	specs := boards()
 	p := owner("most", specs, 0, 1)
 	place(start, p, "", 132)
-	joined := Spec{Name: "most-9", Incarnation: 1, Region: "most", Zone: "most", Slots: 9, Own: 1}
+	joined := Spec{Name: "most-9", Incarnation: 1, Region: "most", Zone: "most", Slots: 9, OwnSlots: 1}
 	now := start.Add(10 * time.Second)
 	p.Update(now, append(specs, joined), 1)
 	is.True(place(now, p, "", 132)[joined.Name] <= 1)
@@ -240,16 +242,16 @@
 // it would be cut off in the middle, with its caller in doubt about a booking; told to come back it has its time anew.
 func TestFirstRunThatWouldBeCutOffIsNotBegun(t *testing.T) {
 	is := is.New(t)
-	p := owner("most", []Spec{{Name: "a", Region: "most", Slots: 1, Own: 1}}, 0, 1)
+	p := owner("most", []Spec{{Name: "a", Region: "most", Slots: 1, OwnSlots: 1}}, 0, 1)
 	busy, _ := p.Offer(start, &Ticket{Host: "a", Deadline: start.Add(time.Minute)})
 	is.True(busy.Target != nil)
 	k := &Ticket{
-		Host: "a", First: true, Warm: 300 * time.Millisecond, Cold: 1100 * time.Millisecond, Aim: start.Add(800 * time.Millisecond),
+		Host: "a", FirstRun: true, WarmTime: 300 * time.Millisecond, ColdTime: 1100 * time.Millisecond, SoftDeadline: start.Add(800 * time.Millisecond),
 		Deadline: start.Add(1200 * time.Millisecond), Decided: make(chan Decision, 1),
 	}
 	decision, decided := p.Offer(start, k)
 	if !decided {
-		placed := p.Done(start.Add(150*time.Millisecond), busy.Target, Outcome{Took: 150 * time.Millisecond})
+		placed := p.Done(start.Add(150*time.Millisecond), busy.Target, Outcome{ResponseTime: 150 * time.Millisecond})
 		is.Equal(len(placed), 1)
 		decision = placed[0].Decision
 	}
--- a/core/placer/choice.go
+++ b/core/placer/choice.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"chervilrail.example/core/gauger"
+	"chervilrail.example/core/aggregator"
 )
 
 const (
@@ -62,14 +62,14 @@
 // enter returns the host of a request's object if it has room. A request that comes while the object runs there for
 // the first time waits: it would run cold beside that run, for three times the slots' time, and end no sooner.
 func (p *Placer) enter(now time.Time, t *Ticket, host *Target) *Target {
-	if now.Before(t.WarmAt) && (p.load.scarce || now.Add(t.Cold).After(t.Aim)) {
+	if now.Before(t.WarmAt) && (p.load.scarce || now.Add(t.ColdTime).After(t.SoftDeadline)) {
 		return nil
 	}
 	if !host.usable(now) {
 		return nil
 	}
 	chance := warmChance(0)
-	if t.First {
+	if t.FirstRun {
 		chance = 0
 	}
 	if _, ok := p.cost(now, host, t, chance); !ok {
@@ -121,7 +121,7 @@
 // instances are told of it is no help here: all would stay away from a target for as long as the news is old, and then all
 // come at once.
 func (p *Placer) held(now time.Time, t *Target) float64 {
-	weight := gauger.Fade(now.Sub(t.othersAt), p.crowd.life)
+	weight := aggregator.Decay(now.Sub(t.othersAt), p.crowd.life)
 	return float64(t.running) + t.others*weight + p.load.crowd*float64(t.Slots)*(1-weight)
 }
 
@@ -143,7 +143,7 @@
 // cost estimates the time to the answer; false means that the target has no room for one more. Chance is how likely the
 // target has the object warm.
 func (p *Placer) cost(now time.Time, target *Target, t *Ticket, chance float64) (time.Duration, bool) {
-	work := time.Duration(chance*float64(t.Warm) + (1-chance)*float64(t.Cold))
+	work := time.Duration(chance*float64(t.WarmTime) + (1-chance)*float64(t.ColdTime))
 	queue := warmQueue * chance
 	slots := float64(target.Slots)
 	held := p.held(now, target)
@@ -153,13 +153,13 @@
 	if !t.onTime(now) {
 		queue = lateQueue
 	}
-	if held+1 > slots+queue && target.running >= target.Own {
+	if held+1 > slots+queue && target.running >= target.OwnSlots {
 		return 0, false
 	}
 	wait := max(0, held+1-slots) / max(1, slots) * float64(p.usual())
 	cost := time.Duration((float64(work) + wait) * target.slowness(now))
 	if target.Region != p.Region {
-		cost += p.Far
+		cost += p.InterRegionRTT
 	}
 	if target.Zone != p.Zone {
 		cost += zoneCost
--- a/core/placer/placer.go
+++ b/core/placer/placer.go
@@ -22,7 +22,7 @@
 	"sort"
 	"time"
 
-	"chervilrail.example/core/gauger"
+	"chervilrail.example/core/aggregator"
 	"chervilrail.example/core/messenger"
 )
 
@@ -38,15 +38,15 @@
 type Ticket struct {
 	// Key names the object concerned, or is empty.
 	Key string
-	// Rank is the caller's own priority, which goes before that of what it asks for; 0 is the most urgent of both.
-	Rank     int32
-	Priority int32
-	// Aim is until when an answer is on time, Deadline until when it is of use at all.
-	Aim      time.Time
-	Deadline time.Time
-	// Warm and Cold are the expected service times at a target that has the object warm, and at another.
-	Warm time.Duration
-	Cold time.Duration
+	// CallerPriority is the caller's own priority, which goes before that of what it asks for; 0 is the most urgent of both.
+	CallerPriority int32
+	Priority       int32
+	// SoftDeadline is until when an answer is on time, Deadline until when it is of use at all.
+	SoftDeadline time.Time
+	Deadline     time.Time
+	// WarmTime and Cold are the expected service times at a target that has the object warm, and at another.
+	WarmTime time.Duration
+	ColdTime time.Duration
 	// Tried are targets not to use again.
 	Tried []string
 	// Regions that may serve the request; empty allows all.
@@ -55,8 +55,8 @@
 	// there is expected to have ended, zero if it has.
 	Host   string
 	WarmAt time.Time
-	// First: this is the object's first run at its host.
-	First bool
+	// FirstRun: this is the object's first run at its host.
+	FirstRun bool
 	// Decided receives the decision on a ticket that has to wait; it needs room for one.
 	Decided chan Decision
 
@@ -76,9 +76,9 @@
 
 // Outcome is how a request at a target ended.
 type Outcome struct {
-	// Took is the time to the answer, zero if there was none; Usual is what was expected.
-	Took  time.Duration
-	Usual time.Duration
+	// ResponseTime is the time to the answer, zero if there was none; Usual is what was expected.
+	ResponseTime time.Duration
+	ExpectedTime time.Duration
 	// Failed: no answer of use. Unreachable: the target could not be spoken to.
 	Failed      bool
 	Unreachable bool
@@ -91,8 +91,8 @@
 	// Region and Zone are this entry instance's own.
 	Region string
 	Zone   string
-	// Far is what it takes to reach another region and come back.
-	Far time.Duration
+	// InterRegionRTT is what it takes to reach another region and come back.
+	InterRegionRTT time.Duration
 
 	// firstAt is when the first targets became known, met the names of those known since.
 	firstAt time.Time
@@ -174,7 +174,7 @@
 			p.assigner.newest = ready
 		}
 		p.byName[s.Name] = t
-		p.byKey[gauger.Key(s.Name)] = t
+		p.byKey[aggregator.Key(s.Name)] = t
 		if p.starting(now) {
 			p.met[s.Name] = true
 		}
@@ -207,8 +207,8 @@
 	return out
 }
 
-// Hear takes the loads of targets as all instances of the region saw them.
-func (p *Placer) Hear(now time.Time, loads []gauger.Reading) {
+// ObserveLoads takes the loads of targets as all instances of the region saw them.
+func (p *Placer) ObserveLoads(now time.Time, loads []aggregator.Reading) {
 	for _, r := range loads {
 		if t, ok := p.byKey[r.Target]; ok {
 			t.told, t.toldAt = r.PerSlot, now
@@ -252,8 +252,8 @@
 	if o.Unreachable {
 		p.spread.disturb(now)
 	}
-	if o.Took > 0 {
-		p.work += (o.Took - p.work) / smoothing
+	if o.ResponseTime > 0 {
+		p.work += (o.ResponseTime - p.work) / smoothing
 	}
 	p.crowd.life = time.Duration(reportFade * float64(p.usual()))
 	return p.Tick(now)
--- a/core/placer/queue.go
+++ b/core/placer/queue.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"chervilrail.example/core/gauger"
+	"chervilrail.example/core/aggregator"
 )
 
 const (
@@ -23,12 +23,12 @@
 // giveUp is until when a ticket waits: while it can be on time, and a little beyond.
 func (p *Placer) giveUp(now time.Time, t *Ticket) time.Time {
 	// A first run that begins later than this would be cut off at the deadline; its caller can come back with time anew.
-	if last := t.Deadline.Add(-t.Cold); t.First && !last.After(t.Aim) {
+	if last := t.Deadline.Add(-t.ColdTime); t.FirstRun && !last.After(t.SoftDeadline) {
 		return last
 	}
-	onTime := t.Aim.Add(-t.Warm)
+	onTime := t.SoftDeadline.Add(-t.WarmTime)
 	late := now.Add(t.Deadline.Sub(now) / holdParts)
-	if last := t.Deadline.Add(-t.Warm); late.After(last) {
+	if last := t.Deadline.Add(-t.WarmTime); late.After(last) {
 		late = last
 	}
 	if onTime.After(late) {
@@ -57,8 +57,8 @@
 	if x, y := a.onTime(now), b.onTime(now); x != y {
 		return x
 	}
-	if a.Rank != b.Rank {
-		return a.Rank < b.Rank
+	if a.CallerPriority != b.CallerPriority {
+		return a.CallerPriority < b.CallerPriority
 	}
 	if a.Priority != b.Priority {
 		return a.Priority < b.Priority
@@ -66,7 +66,7 @@
 	return a.arrived.Before(b.arrived)
 }
 
-func (t *Ticket) onTime(now time.Time) bool { return !now.Add(t.Warm).After(t.Aim) }
+func (t *Ticket) onTime(now time.Time) bool { return !now.Add(t.WarmTime).After(t.SoftDeadline) }
 
 // expectedWait estimates how long a ticket would wait for a slot: as long as those ahead of it take at the rate at which
 // waiting requests were placed lately. That fades into the rate of this instance's part of the slots: remembered for
@@ -75,10 +75,10 @@
 	if host := p.host(now, t); host != nil {
 		slots := float64(max(1, host.Slots))
 		queue := time.Duration(float64(p.usual()) * float64(p.ahead(now, t)+1) / slots)
-		queue += time.Duration(float64(t.Warm) * max(0, p.waiting(now, host)) / slots)
+		queue += time.Duration(float64(t.WarmTime) * max(0, p.waiting(now, host)) / slots)
 		return max(queue, t.WarmAt.Sub(now))
 	}
-	weight := gauger.Fade(now.Sub(p.gapAt), gapLife)
+	weight := aggregator.Decay(now.Sub(p.gapAt), gapLife)
 	even := float64(p.usual()) / max(1, p.share)
 	gap := weight*float64(p.gap) + (1-weight)*even
 	return time.Duration(gap * float64(p.ahead(now, t)+1))
--- a/core/placer/target.go
+++ b/core/placer/target.go
@@ -4,7 +4,7 @@
 	"net/netip"
 	"time"
 
-	"chervilrail.example/core/gauger"
+	"chervilrail.example/core/aggregator"
 )
 
 const (
@@ -39,8 +39,8 @@
 	Region      string
 	Zone        string
 	Slots       int32
-	// Own is how many of its slots belong to this entry instance.
-	Own int32
+	// OwnSlots is how many of its slots belong to this entry instance.
+	OwnSlots int32
 	// ColdUntil is the end of the target's cold time; Rate is how many requests a second this entry instance may
 	// send it until then.
 	ColdUntil time.Time
@@ -88,13 +88,13 @@
 
 // expect notes that an object was placed here which needs so many slots.
 func (t *Target) expect(now time.Time, slots float64) {
-	t.coming = t.coming*gauger.Fade(now.Sub(t.comingAt), comingLife) + slots
+	t.coming = t.coming*aggregator.Decay(now.Sub(t.comingAt), comingLife) + slots
 	t.comingAt = now
 }
 
 // expected is the load with what was placed here lately. A target that nothing is told of has none.
 func (t *Target) expected(now time.Time) float64 {
-	coming := t.coming * gauger.Fade(now.Sub(t.comingAt), comingLife) / max(1, float64(t.Slots))
+	coming := t.coming * aggregator.Decay(now.Sub(t.comingAt), comingLife) / max(1, float64(t.Slots))
 	if load, ok := t.heard(now); ok {
 		return load + coming
 	}
@@ -129,7 +129,7 @@
 		return true
 	}
 	// A cold target crashes when it gets much more than its rate.
-	return t.Own > 0 && float64(len(t.recentSends(now)))+1 <= t.Rate
+	return t.OwnSlots > 0 && float64(len(t.recentSends(now)))+1 <= t.Rate
 }
 
 func (t *Target) recentSends(now time.Time) []time.Time {
@@ -141,7 +141,7 @@
 
 // slowness is how many times longer than usual the target is expected to take, failures counted as time lost.
 func (t *Target) slowness(now time.Time) float64 {
-	weight := gauger.Fade(now.Sub(t.opinionAt), forget)
+	weight := aggregator.Decay(now.Sub(t.opinionAt), forget)
 	pace := 1 + (t.pace-1)*weight
 	if now.Before(t.ColdUntil) {
 		pace = max(pace, coldPace)
@@ -172,8 +172,8 @@
 	}
 	t.settleOpinion(now)
 	t.bad += newest * (failed - t.bad)
-	if o.Took > 0 && o.Usual > 0 {
-		pace := min(maxPace, max(minPace, float64(o.Took)/float64(o.Usual)))
+	if o.ResponseTime > 0 && o.ExpectedTime > 0 {
+		pace := min(maxPace, max(minPace, float64(o.ResponseTime)/float64(o.ExpectedTime)))
 		t.pace += newest * (pace - t.pace)
 	}
 	switch {
@@ -187,7 +187,7 @@
 
 // settleOpinion lets the opinion fade to this moment, so that newer outcomes add to what is left of it.
 func (t *Target) settleOpinion(now time.Time) {
-	weight := gauger.Fade(now.Sub(t.opinionAt), forget)
+	weight := aggregator.Decay(now.Sub(t.opinionAt), forget)
 	t.pace = 1 + (t.pace-1)*weight
 	t.bad *= weight
 	t.opinionAt = now
--- a/core/quoter/leased_test.go
+++ b/core/quoter/leased_test.go
@@ -22,7 +22,7 @@
 // leased shares quotas by parts that a leader gives out on demand.
 type leased struct {
 	plan     *wire.Plan
-	terms    Terms
+	terms    Tolerance
 	allotter *Allotter
 	holders  []*seat
 	listed   []*wire.QuotaHolder
@@ -79,12 +79,12 @@
 	last         Verdict
 }
 
-func newLeased(now time.Time, terms Terms, instances int, organisations []*wire.Organisation) *leased {
+func newLeased(now time.Time, terms Tolerance, instances int, organisations []*wire.Organisation) *leased {
 	l := &leased{terms: terms, plan: &wire.Plan{Organisations: organisations}, lose: func() bool { return false }}
 	for i := range instances {
 		l.listed = append(l.listed, &wire.QuotaHolder{Name: organisationName(i), Incarnation: 1})
 		s := &seat{holder: Holder{Self: l.listed[i], Started: now.Add(-time.Minute)}}
-		s.holder.Follow(now, l.plan)
+		s.holder.Update(now, l.plan)
 		l.holders = append(l.holders, s)
 	}
 	l.elect(now, 1)
@@ -93,16 +93,16 @@
 
 // elect makes a new leader that knows what is replicated and nothing else.
 func (l *leased) elect(now time.Time, term uint64) {
-	l.allotter = &Allotter{Terms: l.terms, Term: term, Since: now, Lease: testLease, Distrust: time.Second}
-	l.allotter.Follow(l.plan, l.listed, l.state.Stretched())
+	l.allotter = &Allotter{Tolerance: l.terms, Term: term, ElectedAt: now, Lease: testLease, Holdoff: time.Second}
+	l.allotter.Update(l.plan, l.listed, l.state.Stretched())
 }
 
 func (l *leased) follow(now time.Time, plan *wire.Plan) {
 	l.plan = plan
-	l.allotter.Follow(plan, l.listed, l.state.Stretched())
+	l.allotter.Update(plan, l.listed, l.state.Stretched())
 	for _, s := range l.holders {
 		if !s.cut {
-			s.holder.Follow(now, plan)
+			s.holder.Update(now, plan)
 		}
 	}
 }
@@ -114,8 +114,8 @@
 	}
 	change := &wire.StretchChange{Organisations: names, On: on}
 	changed := l.state.Apply(&wire.Command{Stretch: change}).GetChanged()
-	l.allotter.Follow(l.plan, l.listed, l.state.Stretched())
-	l.allotter.Stretched(change, changed)
+	l.allotter.Update(l.plan, l.listed, l.state.Stretched())
+	l.allotter.ApplyStretch(change, changed)
 }
 
 func organisationName(i int) string { return "e" + string(rune('a'+i%26)) + string(rune('a'+i/26)) }
@@ -136,10 +136,10 @@
 }
 
 func (l *leased) tick(now time.Time) {
-	l.stretch(l.allotter.Stretching(), true)
+	l.stretch(l.allotter.ToStretch(), true)
 	if now.Sub(l.relaxAt) > time.Second {
 		l.relaxAt = now
-		l.stretch(l.allotter.Relaxing(), false)
+		l.stretch(l.allotter.ToRelax(), false)
 	}
 	for _, s := range l.holders {
 		l.call(now, s)
@@ -199,12 +199,12 @@
 	s.holder = Holder{Started: now, Self: &wire.QuotaHolder{
 		Name: s.holder.Self.GetName(), Incarnation: s.holder.Self.GetIncarnation() + 1,
 	}}
-	s.holder.Follow(now, l.plan)
+	s.holder.Update(now, l.plan)
 	if l.regions > 0 {
 		s.holder.Share(l.fleet(slices.Index(l.holders, s)))
 	}
 	s.busy, s.answer, s.waiting = false, nil, nil
 	l.listed = append(l.listed, s.holder.Self)
-	l.allotter.Follow(l.plan, l.listed, l.state.Stretched())
-	l.allotter.New(s.holder.Self)
+	l.allotter.Update(l.plan, l.listed, l.state.Stretched())
+	l.allotter.MarkNew(s.holder.Self)
 }
--- a/core/quoter/stretch.go
+++ b/core/quoter/stretch.go
@@ -13,11 +13,11 @@
 // whole reports whether the parts of an organisation may add up to its whole quota.
 func (a *Allotter) whole(name string) bool { return a.stretched[name] && !a.relaxing[name] }
 
-// Stretching returns organisations whose parts have to be let add up to the whole quota, sorted.
-func (a *Allotter) Stretching() []string { return slices.Sorted(maps.Keys(a.stretching)) }
+// ToStretch returns organisations whose parts have to be let add up to the whole quota, sorted.
+func (a *Allotter) ToStretch() []string { return slices.Sorted(maps.Keys(a.stretching)) }
 
-// Relaxing returns organisations that need no more than the usual part again, sorted. From now on they get no more.
-func (a *Allotter) Relaxing() []string {
+// ToRelax returns organisations that need no more than the usual part again, sorted. From now on they get no more.
+func (a *Allotter) ToRelax() []string {
 	if len(a.unknown) > 0 {
 		return nil
 	}
@@ -30,9 +30,9 @@
 	return slices.Sorted(maps.Keys(a.relaxing))
 }
 
-// Stretched tells that this leader has let the parts of organisations add up to their whole quotas, or ended that; changed
+// ApplyStretch tells that this leader has let the parts of organisations add up to their whole quotas, or ended that; changed
 // are those for which that was otherwise before.
-func (a *Allotter) Stretched(c *wire.StretchChange, changed []string) {
+func (a *Allotter) ApplyStretch(c *wire.StretchChange, changed []string) {
 	for _, name := range c.GetOrganisations() {
 		if c.GetOn() {
 			delete(a.stretching, name)
--- a/core/shifter/shifter.go
+++ b/core/shifter/shifter.go
@@ -18,20 +18,20 @@
 	percent   = 100
 )
 
-// Measure compares the two regions over the last stage.
-type Measure struct {
+// Measurement compares the two regions over the last stage.
+type Measurement struct {
 	At       time.Time
 	Answers  int64
 	Failures int64
-	// There and Here are smoothed answer times of the new and the old region.
-	There time.Duration
-	Here  time.Duration
+	// NewLatency and Here are smoothed answer times of the new and the old region.
+	NewLatency time.Duration
+	OldLatency time.Duration
 }
 
-// Ramp is the state of one shift. Set Part and Stages before use.
+// Ramp is the state of one shift. Set FinalPercent and Stages before use.
 type Ramp struct {
-	// Part is the percentage to reach.
-	Part int64
+	// FinalPercent is the percentage to reach.
+	FinalPercent int64
 	// Stages is over how many steps.
 	Stages int64
 
@@ -41,13 +41,13 @@
 }
 
 // Percent returns the percentage to move at the moment.
-func (r *Ramp) Percent() int64 { return r.Part * r.stage / r.Stages }
+func (r *Ramp) Percent() int64 { return r.FinalPercent * r.stage / r.Stages }
 
 // Stage returns the current stage, 0 before the first.
 func (r *Ramp) Stage() int64 { return r.stage }
 
 // Step looks at the newest measure and may change the stage; it reports whether it did.
-func (r *Ramp) Step(now time.Time, m Measure) bool {
+func (r *Ramp) Step(now time.Time, m Measurement) bool {
 	if r.stage == 0 {
 		return r.enter(now, 1)
 	}
@@ -73,9 +73,9 @@
 	return changed
 }
 
-func (m Measure) bad() bool {
+func (m Measurement) bad() bool {
 	if m.Failures*percent > m.Answers*badPercent {
 		return true
 	}
-	return m.Here > 0 && m.There > slowParts*m.Here
+	return m.OldLatency > 0 && m.NewLatency > slowParts*m.OldLatency
 }
--- a/entry/internal/carrier/organisation_test.go
+++ b/entry/internal/dispatcher/organisation_test.go
@@ -1,4 +1,4 @@
-package carrier
+package dispatcher
 
 import (
 	"bytes"
@@ -38,7 +38,7 @@
 const secret = "s3cret"
 
 // organise makes the carrier's plan need keys: acme's is secret, bound may only be served in region q, where no target is.
-func organise(c *Carrier, m *meter) {
+func organise(c *Dispatcher, m *meter) {
 	c.Quotas = m
 	view := *c.Views.View()
 	p := plan()
@@ -58,7 +58,7 @@
 	c.Views = seen(&view)
 }
 
-func askWith(c *Carrier, path string, header http.Header) *httptest.ResponseRecorder {
+func askWith(c *Dispatcher, path string, header http.Header) *httptest.ResponseRecorder {
 	r := httptest.NewRequest(http.MethodPost, "http://h.example"+path, strings.NewReader("in"))
 	r.RequestURI = path
 	r.Header = header.Clone()
@@ -135,9 +135,9 @@
 	is.Equal(len(s.sent), 0)
 	view := *c.Views.View()
 	view.Targets = map[string][]placer.Spec{"listings": append(view.Targets["listings"], placer.Spec{
-		Name: "far", Region: "q", Zone: "y", Slots: 2, Own: 2,
+		Name: "far", Region: "q", Zone: "y", Slots: 2, OwnSlots: 2,
 	})}
-	c.Follow(&view)
+	c.ApplyView(&view)
 	is.Equal(askWith(c, "/once/1", key("bound")).Code, http.StatusOK)
 	is.Equal(s.sent[0].Header.Get(translator.HeaderTarget), "far")
 }
@@ -182,9 +182,9 @@
 		{"granted and failed", quoter.Verdict{}, signed(500), 500, 1, 0},
 		{"granted and broken off", quoter.Verdict{}, end{ending: pooler.Broken}, 502, 1, 0},
 		{"granted and not run", quoter.Verdict{}, unrunBy(503), 503, 2, 1},
-		{"exceeded", quoter.Verdict{Outcome: quoter.Exceeded, Retry: later}, signed(200), 429, 0, 0},
-		{"lacking", quoter.Verdict{Outcome: quoter.Lacking, Retry: later}, signed(200), 503, 0, 0},
-		{"unknown", quoter.Verdict{Outcome: quoter.Unknown, Retry: later}, signed(200), 503, 0, 0},
+		{"exceeded", quoter.Verdict{Outcome: quoter.Exceeded, RetryAt: later}, signed(200), 429, 0, 0},
+		{"lacking", quoter.Verdict{Outcome: quoter.Lacking, RetryAt: later}, signed(200), 503, 0, 0},
+		{"unknown", quoter.Verdict{Outcome: quoter.Unknown, RetryAt: later}, signed(200), 503, 0, 0},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
--- a/entry/internal/asker/asker_test.go
+++ b/entry/internal/enforcer/enforcer_test.go
@@ -1,4 +1,4 @@
-package asker
+package enforcer
 
 import (
 	"context"
@@ -59,7 +59,7 @@
 type region struct {
 	controller *controller
 	address    netip.AddrPort
-	askers     map[string]*Asker
+	askers     map[string]*Enforcer
 	mu         sync.Mutex
 	dead       map[string]bool
 	peers      []locator.Peer
@@ -99,7 +99,7 @@
 func begin(t *testing.T, peers ...string) *region {
 	t.Helper()
 	c := &controller{allotter: quoter.Allotter{
-		Terms: quoter.Terms{Window: window}, Term: 1, Since: time.Now(), Lease: time.Minute, Distrust: time.Second,
+		Tolerance: quoter.Tolerance{Window: window}, Term: 1, ElectedAt: time.Now(), Lease: time.Minute, Holdoff: time.Second,
 	}}
 	mux := http.NewServeMux()
 	mux.Handle(wireconnect.NewExchangeHandler(c))
@@ -107,26 +107,26 @@
 	t.Cleanup(server.Close)
 	r := &region{
 		controller: c, address: netip.MustParseAddrPort(strings.TrimPrefix(server.URL, "http://")),
-		askers: map[string]*Asker{}, dead: map[string]bool{},
+		askers: map[string]*Enforcer{}, dead: map[string]bool{},
 	}
 	var listed []*wire.QuotaHolder
 	for _, name := range peers {
 		r.peers = append(r.peers, locator.Peer{Name: name})
 		listed = append(listed, &wire.QuotaHolder{Name: name, Incarnation: 1})
 	}
-	c.allotter.Follow(plan(), listed, []string{"acme"})
+	c.allotter.Update(plan(), listed, []string{"acme"})
 	for i, name := range peers {
-		a := &Asker{
+		a := &Enforcer{
 			Self: listed[i], Controllers: r, Peers: r, Dialer: &dialer.Dialer{Plain: true}, Logger: log.NewNopLogger(),
 		}
 		r.askers[name] = a
-		c.allotter.New(listed[i])
+		c.allotter.MarkNew(listed[i])
 		if name == "frozen" {
 			continue
 		}
 		is.New(t).NoErr(a.Start(context.Background(), nil))
 		t.Cleanup(func() { is.New(t).NoErr(a.Stop(context.Background())) })
-		a.Follow(time.Now(), r.view(plan()))
+		a.Update(time.Now(), r.view(plan()))
 	}
 	return r
 }
@@ -154,7 +154,7 @@
 			continue
 		}
 		is.Equal(v.Outcome, quoter.Exceeded)
-		is.True(v.Retry.After(time.Now()))
+		is.True(v.RetryAt.After(time.Now()))
 	}
 	is.Equal(granted, 20) // four a second for five seconds
 }
@@ -174,7 +174,7 @@
 	r := begin(t, "a", "b")
 	older := plan()
 	older.Organisations = nil
-	r.askers["a"].Follow(time.Now(), r.view(older))
+	r.askers["a"].Update(time.Now(), r.view(older))
 	v := r.admit("b")
 	is.True(v.Outcome != quoter.Granted)
 }
@@ -211,7 +211,7 @@
 	r := begin(t, "a", "b")
 	older := plan()
 	older.Organisations = nil
-	r.askers["a"].Follow(time.Now(), r.view(older))
+	r.askers["a"].Update(time.Now(), r.view(older))
 	const requests = 50
 	var waiting sync.WaitGroup
 	for range requests {
@@ -219,6 +219,6 @@
 	}
 	waiting.Wait()
 	is.True(r.asked.Load() < 2*requests)
-	r.askers["a"].Follow(time.Now(), r.view(plan()))
+	r.askers["a"].Update(time.Now(), r.view(plan()))
 	is.Equal(r.admit("b").Outcome, quoter.Granted)
 }
--- a/entry/internal/forwarder/pacer_test.go
+++ b/entry/internal/forwarder/pacer_test.go
@@ -19,7 +19,7 @@
 	is := is.New(t)
 	const share = 96 << 10
 	h := &granter.Holder{}
-	h.Watch(time.Now(), []string{"link:a:b", "link:b:a"})
+	h.SetResources(time.Now(), []string{"link:a:b", "link:b:a"})
 	sequence, _ := h.Request(time.Now())
 	is.True(h.Accept(time.Now(), sequence, time.Minute, []*wire.Grant{{Resource: "link:a:b", Share: share}}))
 	near, far := net.Pipe()
@@ -32,5 +32,5 @@
 	got, err := io.ReadAll(far)
 	is.NoErr(err)
 	is.True(bytes.Equal(got, sent))
-	is.True(h.Room(time.Now(), "link:a:b") < share) // it went through the share
+	is.True(h.Available(time.Now(), "link:a:b") < share) // it went through the share
 }
--- a/entry/internal/forwarder/ramps.go
+++ b/entry/internal/forwarder/ramps.go
@@ -87,14 +87,14 @@
 		if !ok {
 			o = &ramp{}
 		}
-		o.Part, o.Stages = s.Part, s.Stages
+		o.FinalPercent, o.Stages = s.Part, s.Stages
 		there, here := r.region(s.To), r.region(s.From)
-		changed := o.Step(now, shifter.Measure{
-			At:       there.at,
-			Answers:  there.answers - o.answers,
-			Failures: there.failures - o.failures,
-			There:    there.smoothed,
-			Here:     here.smoothed,
+		changed := o.Step(now, shifter.Measurement{
+			At:         there.at,
+			Answers:    there.answers - o.answers,
+			Failures:   there.failures - o.failures,
+			NewLatency: there.smoothed,
+			OldLatency: here.smoothed,
 		})
 		if changed {
 			o.answers, o.failures = there.answers, there.failures
--- a/entry/internal/locator/locator.go
+++ b/entry/internal/locator/locator.go
@@ -14,9 +14,9 @@
 	"github.com/go-kit/log"
 	"github.com/go-kit/log/level"
 
-	"chervilrail.example/core/dealer"
 	"chervilrail.example/core/dialer"
 	"chervilrail.example/core/kernel"
+	"chervilrail.example/core/partitioner"
 	"chervilrail.example/core/placer"
 	"chervilrail.example/core/wire"
 	"chervilrail.example/core/wire/wireconnect"
@@ -28,8 +28,8 @@
 	answerTimeout = 100 * time.Millisecond
 	// spendTimeout is the same where the other instance may have to ask a controller first; it answers within SpendWithin.
 	spendTimeout = 350 * time.Millisecond
-	// SpendWithin is how long a request of another instance waits for a part of a quota; it comes again then.
-	SpendWithin = 150 * time.Millisecond
+	// MaxSpendWait is how long a request of another instance waits for a part of a quota; it comes again then.
+	MaxSpendWait = 150 * time.Millisecond
 	// shun is how long an instance that did not answer is not asked again. Each question to it holds up a request.
 	shun = time.Second
 )
@@ -42,7 +42,7 @@
 
 // Assigner decides for the objects that this instance answers for.
 type Assigner interface {
-	Assign(now time.Time, service string, ask placer.Ask) placer.Place
+	Assign(now time.Time, service string, ask placer.AssignRequest) placer.Assignment
 }
 
 // Spender counts requests of organisations whose parts this instance keeps for its region.
@@ -106,7 +106,7 @@
 		if p.Name != l.Self && now.Before(l.shunned[p.Name]) {
 			continue
 		}
-		if w := dealer.Weight(key, p.Name); w > most {
+		if w := partitioner.Weight(key, p.Name); w > most {
 			best, most = p, w
 		}
 	}
@@ -115,10 +115,10 @@
 
 // Locate says where a request for an object goes. An instance that does not answer is left out for a while; the one that
 // comes next takes over from the hints of those who ask.
-func (l *Locator) Locate(ctx context.Context, peers []Peer, service string, ask placer.Ask) placer.Place {
+func (l *Locator) Locate(ctx context.Context, peers []Peer, service string, ask placer.AssignRequest) placer.Assignment {
 	for range 2 {
 		now := time.Now()
-		owner := l.owner(now, peers, placer.ObjectOf(ask.Object))
+		owner := l.owner(now, peers, placer.ObjectHash(ask.Object))
 		if owner.Name == l.Self {
 			break
 		}
@@ -127,7 +127,7 @@
 			return place
 		}
 		if ctx.Err() != nil {
-			return placer.Place{}
+			return placer.Assignment{}
 		}
 		l.leaveOut(now, owner, err)
 	}
@@ -146,17 +146,17 @@
 		"err", err)
 }
 
-func (l *Locator) call(ctx context.Context, owner Peer, service string, ask placer.Ask) (placer.Place, error) {
+func (l *Locator) call(ctx context.Context, owner Peer, service string, ask placer.AssignRequest) (placer.Assignment, error) {
 	ctx, cancel := context.WithTimeout(ctx, answerTimeout)
 	defer cancel()
 	client := wireconnect.NewPlacementClient(l.client, l.Dialer.URL(owner.Address))
 	response, err := client.Place(ctx, connect.NewRequest(&wire.PlaceRequest{
-		Service: service, Object: ask.Object, Route: ask.Route, Hint: ask.Hint, Cold: int64(ask.Cold), Regions: ask.Regions,
+		Service: service, Object: ask.Object, Route: ask.Route, Hint: ask.Hint, Cold: int64(ask.ColdTime), Regions: ask.Regions,
 	}))
 	if err != nil {
-		return placer.Place{}, err
+		return placer.Assignment{}, err
 	}
-	place := placer.Place{Target: response.Msg.GetTarget(), Reason: owner.Name, First: response.Msg.GetFirst()}
+	place := placer.Assignment{Target: response.Msg.GetTarget(), Reason: owner.Name, FirstRun: response.Msg.GetFirst()}
 	if warming := time.Duration(response.Msg.GetWarming()); warming > 0 {
 		place.WarmAt = time.Now().Add(warming)
 	}
@@ -168,12 +168,12 @@
 	_ context.Context, r *connect.Request[wire.PlaceRequest],
 ) (*connect.Response[wire.PlaceResponse], error) {
 	now := time.Now()
-	place := l.Assigner.Assign(now, r.Msg.GetService(), placer.Ask{
-		Object: r.Msg.GetObject(), Route: r.Msg.GetRoute(), Hint: r.Msg.GetHint(), Cold: time.Duration(r.Msg.GetCold()),
+	place := l.Assigner.Assign(now, r.Msg.GetService(), placer.AssignRequest{
+		Object: r.Msg.GetObject(), Route: r.Msg.GetRoute(), Hint: r.Msg.GetHint(), ColdTime: time.Duration(r.Msg.GetCold()),
 		Regions: r.Msg.GetRegions(),
 	})
 	return connect.NewResponse(&wire.PlaceResponse{
-		Target: place.Target, First: place.First, Warming: int64(warming(now, place)),
+		Target: place.Target, First: place.FirstRun, Warming: int64(warming(now, place)),
 	}), nil
 }
 
@@ -200,7 +200,7 @@
 	return connect.NewResponse(l.Spender.Spend(ctx, r.Msg)), nil
 }
 
-func warming(now time.Time, place placer.Place) time.Duration {
+func warming(now time.Time, place placer.Assignment) time.Duration {
 	if place.WarmAt.IsZero() {
 		return 0
 	}
