--- a/controller/internal/consenter/consenter.go
+++ b/controller/internal/consenter/consenter.go
@@ -47,7 +47,7 @@
 	Bootstrap bool
 	Timing    replicator.Timing
 	Lease     time.Duration
-	// Quotas are the accuracy requirements for organisations' quotas.
+	// Quotas is the tolerance within which organisations' quotas are kept.
 	Quotas quoter.Tolerance
 	Sender Sender
 	// OnRoutingChange is called after the routing state has changed; it must not block.
--- a/core/gossiper/gossiper.go
+++ b/core/gossiper/gossiper.go
@@ -52,7 +52,7 @@
 	peers     map[string]*peer
 	losses    []*loss
 	hosts     hosts
-	gauge     aggregator.LoadTable
+	loadTable aggregator.LoadTable
 	// counter is incremented with every change that watchers have to receive.
 	counter uint64
 	// digest is the XOR of the digests of all targets' records; equal sets of records have equal digests.
