--- a/core/gossiper/exchange.go
+++ b/core/gossiper/exchange.go
@@ -16,100 +16,104 @@
 	return p
 }
 
-// BuildRequest returns what to tell another controller now.
+// BuildRequest returns the request to send to another controller now. It holds the changes that the controller has not
+// acknowledged, or all records if the two digests have differed for longer than repairAfter.
 func (g *Gossiper) BuildRequest(now time.Time, name string) *wire.ExchangeRequest {
 	g.init()
 	p := g.peer(name)
-	whole := p.differs && now.Sub(p.differAt) > repairAfter
-	if whole {
-		p.differAt = now
+	full := p.differs && now.Sub(p.differsSince) > repairAfter
+	if full {
+		p.differsSince = now
 	}
 	out := &wire.ExchangeRequest{From: g.Self, Run: g.Run, Counter: g.counter, Digest: g.digest, Region: g.Region}
-	if whole {
-		out.Records = g.changed(now, 0, func(*mark) bool { return true })
+	if full {
+		out.Records = g.changedRecords(now, 0, func(*targetStatus) bool { return true })
 	} else {
-		out.Records = g.changed(now, p.acked, func(m *mark) bool { return m.home })
+		out.Records = g.changedRecords(now, p.acked, func(m *targetStatus) bool { return m.direct })
 	}
-	out.Seen = g.nodes.own(now)
+	out.Seen = g.instances.connected(now)
 	for _, l := range g.losses {
-		if l.home && l.counter > p.acked {
+		if l.direct && l.counter > p.acked {
 			out.Losses = append(out.Losses, l.report)
 		}
 	}
 	out.Hosted = g.hosts.counter
-	out.Hosts = g.hosts.since(p.hosted, func(m *hostMark) bool { return m.own })
+	out.Hosts = g.hosts.since(p.ackedHosts, func(m *hostEntry) bool { return m.local })
 	if p.region == g.Region {
-		out.Loads = aggregator.Encode(g.gauge.Local(p.loadedAt))
-		p.loadedAt = now
+		out.Loads = aggregator.Encode(g.loadTable.Local(p.loadsSentAt))
+		p.loadsSentAt = now
 	}
 	return out
 }
 
-// HandleRequest takes what another controller tells.
+// HandleRequest merges the request of another controller and returns the response that acknowledges it.
 func (g *Gossiper) HandleRequest(now time.Time, r *wire.ExchangeRequest) *wire.ExchangeResponse {
 	g.init()
 	for _, record := range r.GetRecords() {
-		g.learn(now, record)
+		g.mergeRecord(now, record)
 	}
 	for _, s := range r.GetSeen() {
-		g.counter = g.nodes.sight(s.GetNode(), now.Add(-time.Duration(s.GetAge())), false, g.counter)
+		g.counter = g.instances.observe(s.GetNode(), now.Add(-time.Duration(s.GetAge())), false, g.counter)
 	}
 	g.ReportLosses(now, r.GetLosses(), false)
-	g.settle(r.GetHosts(), false)
-	g.gauge.Record(now, aggregator.Decode(r.GetLoads()), false)
+	g.mergeHosts(r.GetHosts(), false)
+	g.loadTable.Record(now, aggregator.Decode(r.GetLoads()), false)
 	p := g.peer(r.GetFrom())
 	p.region = r.GetRegion()
 	g.compare(now, p, r.GetDigest())
 	return &wire.ExchangeResponse{Run: r.GetRun(), Counter: r.GetCounter(), Answerer: g.Run, Hosted: r.GetHosted()}
 }
 
-func (g *Gossiper) learn(now time.Time, record *wire.Record) {
+// mergeRecord merges a record that another controller sent. If it is newer, the target no longer counts as announcing
+// itself to this controller.
+func (g *Gossiper) mergeRecord(now time.Time, record *wire.Record) {
 	old, known := g.targets.Get(record.GetName())
 	if !g.targets.Merge(now, record) {
 		return
 	}
-	m := g.mark(record.GetName())
-	m.home = false
+	m := g.status(record.GetName())
+	m.direct = false
 	m.coldEnd = now.Add(time.Duration(record.GetCold()))
 	if !known || differ(old, record) {
-		g.change(record.GetName())
+		g.recordChange(record.GetName())
 	}
 }
 
+// compare records whether another controller's digest differs from this one's, and since when.
 func (g *Gossiper) compare(now time.Time, p *peer, digest uint64) {
 	differs := digest != g.digest
 	if differs && !p.differs {
-		p.differAt = now
+		p.differsSince = now
 	}
 	p.differs = differs
 }
 
-// HandleResponse notes another controller's answer to an exchange that was sent at a time. A new run of it has forgotten
-// everything, so it is told everything again.
+// HandleResponse processes another controller's response to a request that was sent at a given time. A changed run
+// number means that the controller has restarted and lost its state, so everything is sent to it again.
 func (g *Gossiper) HandleResponse(sent time.Time, name string, r *wire.ExchangeResponse) {
 	p := g.peer(name)
 	if r.GetRun() != g.Run {
 		return
 	}
 	if p.run != r.GetAnswerer() {
-		fresh := p.run == 0 && p.acked == 0
+		firstContact := p.run == 0 && p.acked == 0
 		p.run = r.GetAnswerer()
-		p.acked, p.hosted = 0, 0
-		if !fresh {
+		p.acked, p.ackedHosts = 0, 0
+		if !firstContact {
 			return
 		}
 	}
 	p.acked = max(p.acked, r.GetCounter())
-	p.hosted = max(p.hosted, r.GetHosted())
+	p.ackedHosts = max(p.ackedHosts, r.GetHosted())
 	p.ackedAt = sent
 }
 
-// HasAcknowledged reports whether a controller has acknowledged everything up to a counter.
+// HasAcknowledged reports whether a controller has acknowledged all changes up to a counter.
 func (g *Gossiper) HasAcknowledged(name string, counter uint64) bool {
 	return name == g.Self || g.peers[name] != nil && g.peers[name].acked >= counter
 }
 
-// ReachableIn reports whether a controller is in a region and answered an exchange lately.
+// ReachableIn reports whether a controller is in a region and has answered an exchange within reachableTimeout.
 func (g *Gossiper) ReachableIn(now time.Time, name, region string) bool {
 	if name == g.Self {
 		return region == g.Region
@@ -117,17 +121,17 @@
 	return g.Reachable(now, name) && g.peers[name].region == region
 }
 
-// Reachable reports whether a controller answered an exchange lately.
+// Reachable reports whether a controller has answered an exchange within reachableTimeout.
 func (g *Gossiper) Reachable(now time.Time, name string) bool {
-	return name == g.Self || g.peers[name] != nil && now.Sub(g.peers[name].ackedAt) < linkLife
+	return name == g.Self || g.peers[name] != nil && now.Sub(g.peers[name].ackedAt) < reachableTimeout
 }
 
-// UpdateLoads takes what entry instances were told by targets.
+// UpdateLoads merges the loads that targets have reported to entry instances.
 func (g *Gossiper) UpdateLoads(now time.Time, loads *wire.Loads) {
-	g.gauge.Record(now, aggregator.Decode(loads), true)
+	g.loadTable.Record(now, aggregator.Decode(loads), true)
 }
 
-// LoadsSince returns the loads that changed after a count, and the count of changes so far.
+// LoadsSince returns the loads that changed after a counter, and the current counter of load changes.
 func (g *Gossiper) LoadsSince(counter uint64) (*wire.Loads, uint64) {
-	return aggregator.Encode(g.gauge.Since(counter)), g.gauge.Counter()
+	return aggregator.Encode(g.loadTable.Since(counter)), g.loadTable.Counter()
 }
--- a/core/gossiper/gossiper.go
+++ b/core/gossiper/gossiper.go
@@ -1,9 +1,10 @@
-// Package gossiper keeps what the controllers know of targets and entry instances alike on all of them, in memory.
-// It is a state machine for use under one lock.
+// Package gossiper replicates what the controllers know of targets and entry instances to all controllers, in memory.
+// It is a state machine; its caller holds one lock around all calls.
 //
-// A controller that hears a target itself tells the others only what has changed; the others are told of nothing
-// else, unless a digest shows that two of them differ for longer than such news takes. So calm costs a few bytes a
-// period and controller, however many targets there are.
+// A controller sends the others only the changes of targets that announce themselves to it directly. It sends all its
+// records only when a digest shows that it has differed from another controller for longer than a change takes to
+// arrive. While nothing changes, an exchange therefore costs a few bytes per period and controller, whatever the number
+// of targets.
 package gossiper
 
 import (
@@ -19,121 +20,126 @@
 )
 
 const (
-	// Period is how often controllers exchange when nothing changes.
+	// Period is the interval of exchanges between controllers while nothing changes.
 	Period = 400 * time.Millisecond
-	// linkLife is how long an answered exchange shows that a controller is reachable: two periods and two round trips.
-	// An entry instance has to hear of a leaving target within 2.5 s, and turns away from a cut-off controller first.
-	linkLife = 1100 * time.Millisecond
-	// repairAfter is how long two controllers may differ before one sends the other everything. News reaches all
-	// within a round trip; what differs for longer was lost with the controller that told it.
+	// reachableTimeout is how long after an answered exchange a controller counts as reachable: two periods and two
+	// round trips. An entry instance has to learn of a leaving target within 2.5 s, and before that has to turn to
+	// another controller if its own is cut off.
+	reachableTimeout = 1100 * time.Millisecond
+	// repairAfter is how long the digests of two controllers may differ before one sends the other all its records. A
+	// change reaches all controllers within a round trip; a difference that lasts longer comes from a change that was
+	// lost with the controller that sent it.
 	repairAfter = 700 * time.Millisecond
-	// silentAfter is how long a target may be unheard: three of its announcements and the time that one may be late.
+	// silentAfter is how long a target may go without an announcement: three announcement intervals and the time by
+	// which one may be late.
 	silentAfter = 6 * time.Second
-	// lossLife and maxLosses bound the reports of requests that were in flight when a target died.
-	lossLife  = 2 * time.Minute
-	maxLosses = 512
+	// lossRetention and maxLosses bound the reports kept of requests that were in flight when a target died.
+	lossRetention = 2 * time.Minute
+	maxLosses     = 512
 )
 
-// Gossiper holds one controller's picture. Set the exported fields before use.
+// Gossiper holds one controller's copy of the replicated state. Set the exported fields before use.
 type Gossiper struct {
 	// Self is this controller's name, Run a number that differs with each start.
 	Self   string
 	Run    uint64
 	Region string
 
-	targets registrar.Registrar
-	marks   map[string]*mark
-	trail   trail
-	nodes   nodes
-	peers   map[string]*peer
-	losses  []*loss
-	hosts   hosts
-	gauge   aggregator.LoadTable
-	// counter grows with everything that a watcher should learn.
+	targets   registrar.Registrar
+	statuses  map[string]*targetStatus
+	changeLog changeLog
+	instances instances
+	peers     map[string]*peer
+	losses    []*loss
+	hosts     hosts
+	loadTable aggregator.LoadTable
+	// counter is incremented with every change that watchers have to receive.
 	counter uint64
-	// digest sums up the targets' records; equal pictures have equal digests.
+	// digest is the XOR of the digests of all targets' records; equal sets of records have equal digests.
 	digest uint64
 }
 
-// mark is what this controller knows beyond a target's record.
-type mark struct {
+// targetStatus is what this controller keeps for a target besides its record.
+type targetStatus struct {
 	changed uint64
-	// home is set while this controller is the one that hears the target.
-	home    bool
-	heardAt time.Time
-	coldEnd time.Time
-	digest  uint64
+	// direct is set while the target announces itself to this controller.
+	direct      bool
+	announcedAt time.Time
+	coldEnd     time.Time
+	digest      uint64
 }
 
 type loss struct {
-	report  *wire.Loss
-	counter uint64
-	home    bool
-	until   time.Time
+	report    *wire.Loss
+	counter   uint64
+	direct    bool
+	expiresAt time.Time
 }
 
-// peer is another controller as seen from here.
+// peer is the state kept for another controller.
 type peer struct {
-	region  string
-	run     uint64
-	acked   uint64
-	hosted  uint64
-	ackedAt time.Time
-	// loadedAt is when it was last told loads.
-	loadedAt time.Time
-	differs  bool
-	differAt time.Time
+	region     string
+	run        uint64
+	acked      uint64
+	ackedHosts uint64
+	ackedAt    time.Time
+	// loadsSentAt is when loads were last sent to it.
+	loadsSentAt time.Time
+	differs     bool
+	// differsSince is when the digests began to differ, or when all records were last sent for that reason.
+	differsSince time.Time
 }
 
 func (g *Gossiper) init() {
-	if g.marks == nil {
-		g.marks = map[string]*mark{}
+	if g.statuses == nil {
+		g.statuses = map[string]*targetStatus{}
 		g.peers = map[string]*peer{}
 	}
 }
 
-// Counter returns the count of changes so far.
+// Counter returns the current change counter.
 func (g *Gossiper) Counter() uint64 { return g.counter }
 
 // Target returns the newest record of a target.
 func (g *Gossiper) Target(name string) (*wire.Record, bool) { return g.targets.Get(name) }
 
-// Announce takes a target's own announcement and returns the change that has to reach the others before it binds.
+// Announce merges a target's own announcement. It returns the change counter that the other controllers have to
+// acknowledge before the announcement is binding.
 func (g *Gossiper) Announce(now time.Time, r *wire.Record) uint64 {
 	g.init()
 	old, known := g.targets.Get(r.GetName())
 	if !g.targets.Merge(now, r) {
-		return g.Changed(r.GetName())
+		return g.LastChange(r.GetName())
 	}
-	m := g.mark(r.GetName())
-	news := !known || !m.home || differ(old, r)
-	m.home = true
-	m.heardAt = now
+	m := g.status(r.GetName())
+	mustPublish := !known || !m.direct || differ(old, r)
+	m.direct = true
+	m.announcedAt = now
 	m.coldEnd = now.Add(time.Duration(r.GetCold()))
-	if news {
-		g.change(r.GetName())
+	if mustPublish {
+		g.recordChange(r.GetName())
 	}
 	return m.changed
 }
 
-// Changed returns the count at which a target's record last changed.
-func (g *Gossiper) Changed(name string) uint64 {
-	if m, ok := g.marks[name]; ok {
+// LastChange returns the counter at which a target's record last changed, or 0 if the target is unknown.
+func (g *Gossiper) LastChange(name string) uint64 {
+	if m, ok := g.statuses[name]; ok {
 		return m.changed
 	}
 	return 0
 }
 
-func (g *Gossiper) mark(name string) *mark {
-	m, ok := g.marks[name]
+func (g *Gossiper) status(name string) *targetStatus {
+	m, ok := g.statuses[name]
 	if !ok {
-		m = &mark{}
-		g.marks[name] = m
+		m = &targetStatus{}
+		g.statuses[name] = m
 	}
 	return m
 }
 
-// differ ignores what changes with every announcement.
+// differ compares two records without the fields that change with every announcement.
 func differ(a, b *wire.Record) bool { return digestOf(a) != digestOf(b) }
 
 func digestOf(r *wire.Record) uint64 {
@@ -146,13 +152,13 @@
 	return xxhash.Sum64(data)
 }
 
-func (g *Gossiper) change(name string) {
+func (g *Gossiper) recordChange(name string) {
 	g.counter++
-	m := g.mark(name)
+	m := g.status(name)
 	m.changed = g.counter
-	g.trail.add(g.counter, name, g.Changed)
-	if g.left(name) {
-		g.hosts.forget(name)
+	g.changeLog.add(g.counter, name, g.LastChange)
+	if g.hasLeft(name) {
+		g.hosts.removeTarget(name)
 	}
 	record, _ := g.targets.Get(name)
 	sum := digestOf(record)
@@ -160,83 +166,84 @@
 	m.digest = sum
 }
 
-// ReportLosses takes reports of requests that were in flight when a target died.
-func (g *Gossiper) ReportLosses(now time.Time, reports []*wire.Loss, home bool) {
+// ReportLosses merges reports of requests that were in flight when a target died.
+func (g *Gossiper) ReportLosses(now time.Time, reports []*wire.Loss, direct bool) {
 	for _, r := range reports {
 		if slices.ContainsFunc(g.losses, func(l *loss) bool { return proto.Equal(l.report, r) }) {
 			continue
 		}
 		g.counter++
-		g.losses = append(g.losses, &loss{r, g.counter, home, now.Add(lossLife)})
+		g.losses = append(g.losses, &loss{r, g.counter, direct, now.Add(lossRetention)})
 	}
 	if extra := len(g.losses) - maxLosses; extra > 0 {
 		g.losses = slices.Delete(g.losses, 0, extra)
 	}
 }
 
-// Tick drops what has timed out. A target is called silent only while others are heard here: when all fall silent at
-// once, it is this controller that lost its links, and traffic must go on.
+// Tick drops what has expired and marks targets that stopped announcing themselves here as silent. It marks none unless
+// more targets announce in time than are overdue: when most of them stop at once, this controller has lost its own
+// connections, and traffic must go on.
 func (g *Gossiper) Tick(now time.Time) {
 	g.init()
-	g.counter = g.nodes.tick(now, g.counter)
-	g.losses = slices.DeleteFunc(g.losses, func(l *loss) bool { return !now.Before(l.until) })
-	heard, quiet := 0, []string{}
-	for name, m := range g.marks {
+	g.counter = g.instances.expire(now, g.counter)
+	g.losses = slices.DeleteFunc(g.losses, func(l *loss) bool { return !now.Before(l.expiresAt) })
+	current, overdue := 0, []string{}
+	for name, m := range g.statuses {
 		record, _ := g.targets.Get(name)
-		if !m.home || record.GetSilent() || record.GetState() != wire.TargetState_TARGET_READY {
+		if !m.direct || record.GetSilent() || record.GetState() != wire.TargetState_TARGET_READY {
 			continue
 		}
-		if now.Sub(m.heardAt) < silentAfter {
-			heard++
+		if now.Sub(m.announcedAt) < silentAfter {
+			current++
 			continue
 		}
-		quiet = append(quiet, name)
+		overdue = append(overdue, name)
 	}
-	if heard <= len(quiet) {
+	if current <= len(overdue) {
 		return
 	}
-	slices.Sort(quiet)
-	for _, name := range quiet {
+	slices.Sort(overdue)
+	for _, name := range overdue {
 		record, _ := g.targets.Get(name)
 		silent := proto.CloneOf(record)
 		silent.Silent = true
 		if g.targets.Merge(now, silent) {
-			g.change(name)
+			g.recordChange(name)
 		}
 	}
 }
 
-// Changes is what a watcher lacks.
+// Changes holds what a watcher has not received yet.
 type Changes struct {
 	Records []*wire.Record
-	// Seen are the entry instances that changed, those that are gone marked lost, or all if Whole is set.
+	// Seen are the entry instances that changed, with removed ones marked lost, or all of them if Whole is set.
 	Seen   []*wire.Seen
 	Whole  bool
 	Losses []*wire.Loss
 }
 
-// Empty reports whether there is nothing new.
+// Empty reports whether there are no changes.
 func (n *Changes) Empty() bool {
 	return len(n.Records)+len(n.Seen)+len(n.Losses) == 0
 }
 
-// ChangesSince returns what a watcher lacks that has seen everything up to a counter.
+// ChangesSince returns the changes after a counter, for a watcher that has received everything up to it.
 func (g *Gossiper) ChangesSince(now time.Time, counter uint64) *Changes {
-	out := &Changes{Records: g.changed(now, counter, func(*mark) bool { return true })}
+	out := &Changes{Records: g.changedRecords(now, counter, func(*targetStatus) bool { return true })}
 	for _, l := range g.losses {
 		if l.counter > counter {
 			out.Losses = append(out.Losses, l.report)
 		}
 	}
-	out.Seen, out.Whole = g.nodes.since(now, counter)
+	out.Seen, out.Whole = g.instances.since(now, counter)
 	return out
 }
 
-// changed returns the wanted records that changed after a count, oldest change first.
-func (g *Gossiper) changed(now time.Time, counter uint64, wanted func(m *mark) bool) []*wire.Record {
+// changedRecords returns the wanted records that changed after a counter, oldest change first.
+func (g *Gossiper) changedRecords(now time.Time, counter uint64, wanted func(m *targetStatus) bool) []*wire.Record {
 	var out []*wire.Record
-	for _, name := range g.trail.since(counter, g.Changed) {
-		m := g.marks[name]
+	for _, name := range g.changeLog.since(counter, g.LastChange) {
+		m := g.statuses[name]
 		record, ok := g.targets.Get(name)
 		if !ok || !wanted(m) {
 			continue
--- a/core/gossiper/nodes.go
+++ b/core/gossiper/nodes.go
@@ -11,128 +11,129 @@
 )
 
 const (
-	// nodeLife is how long an entry instance counts after it was last heard; it asks at least every second.
-	nodeLife = 3 * time.Second
-	// rememberGone is how many entry instances that are gone can still be told as a change. A watcher that missed more
-	// gets the whole list.
-	rememberGone = 128
+	// instanceTimeout is how long an entry instance counts as live after it was last observed; it calls at least every
+	// second.
+	instanceTimeout = 3 * time.Second
+	// maxRemoved is how many removed entry instances are kept, so that their removal can be sent as a change. A watcher
+	// that has missed more receives the full list.
+	maxRemoved = 128
 )
 
-// sighting is an entry instance as last heard.
-type sighting struct {
-	node    *wire.Node
-	heardAt time.Time
-	home    bool
-	// changed is the count at which it last changed.
+// observation is an entry instance as last observed.
+type observation struct {
+	instance   *wire.Node
+	observedAt time.Time
+	direct     bool
+	// changed is the counter at which it last changed.
 	changed uint64
 }
 
-// gone is an entry instance that is heard no more.
-type gone struct {
+// removal is an entry instance that has expired.
+type removal struct {
 	name    string
 	changed uint64
 }
 
-// nodes keeps the entry instances. Watchers are told of changes only: with a hundred entry instances, the list each time
-// one of them stops or starts would be most of what their links carry.
-type nodes struct {
-	seen map[string]*sighting
-	gone []gone
-	// trail lists the changes of those in seen.
-	trail trail
-	// forgotten is the count of the newest change that is no longer in gone.
-	forgotten uint64
+// instances tracks the entry instances. Watchers receive changes only: with a hundred entry instances, the full list
+// each time one of them stops or starts would be most of the traffic on the watchers' links.
+type instances struct {
+	active  map[string]*observation
+	removed []removal
+	// changeLog lists the changes of those in active.
+	changeLog changeLog
+	// evictedUpTo is the counter of the newest removal that is no longer in removed.
+	evictedUpTo uint64
 }
 
-// sight notes an instance as heard at a time, and returns the count of changes.
-func (n *nodes) sight(node *wire.Node, at time.Time, home bool, counter uint64) uint64 {
-	if n.seen == nil {
-		n.seen = map[string]*sighting{}
+// observe records that an instance was observed at a time, and returns the change counter.
+func (n *instances) observe(instance *wire.Node, at time.Time, direct bool, counter uint64) uint64 {
+	if n.active == nil {
+		n.active = map[string]*observation{}
 	}
-	old, ok := n.seen[node.GetName()]
-	if ok && !at.After(old.heardAt) {
+	old, ok := n.active[instance.GetName()]
+	if ok && !at.After(old.observedAt) {
 		return counter
 	}
-	next := &sighting{node: node, heardAt: at, home: home}
-	n.seen[node.GetName()] = next
-	if ok && proto.Equal(old.node, node) {
+	next := &observation{instance: instance, observedAt: at, direct: direct}
+	n.active[instance.GetName()] = next
+	if ok && proto.Equal(old.instance, instance) {
 		next.changed = old.changed
 		return counter
 	}
 	next.changed = counter + 1
-	n.trail.add(next.changed, node.GetName(), n.last)
+	n.changeLog.add(next.changed, instance.GetName(), n.lastChange)
 	return next.changed
 }
 
-// last tells the count at which an instance that is heard changed last, zero for others.
-func (n *nodes) last(name string) uint64 {
-	if s, ok := n.seen[name]; ok {
+// lastChange returns the counter at which an active instance last changed, or 0 for others.
+func (n *instances) lastChange(name string) uint64 {
+	if s, ok := n.active[name]; ok {
 		return s.changed
 	}
 	return 0
 }
 
-// tick drops what was not heard for long, and returns the count of changes.
-func (n *nodes) tick(now time.Time, counter uint64) uint64 {
-	for _, name := range slices.Sorted(maps.Keys(n.seen)) {
-		if now.Sub(n.seen[name].heardAt) <= nodeLife {
+// expire removes the instances not observed within instanceTimeout, and returns the change counter.
+func (n *instances) expire(now time.Time, counter uint64) uint64 {
+	for _, name := range slices.Sorted(maps.Keys(n.active)) {
+		if now.Sub(n.active[name].observedAt) <= instanceTimeout {
 			continue
 		}
-		delete(n.seen, name)
+		delete(n.active, name)
 		counter++
-		n.gone = append(n.gone, gone{name, counter})
+		n.removed = append(n.removed, removal{name, counter})
 	}
-	if extra := len(n.gone) - rememberGone; extra > 0 {
-		n.forgotten = n.gone[extra-1].changed
-		n.gone = slices.Delete(n.gone, 0, extra)
+	if extra := len(n.removed) - maxRemoved; extra > 0 {
+		n.evictedUpTo = n.removed[extra-1].changed
+		n.removed = slices.Delete(n.removed, 0, extra)
 	}
 	return counter
 }
 
-// live returns the instances heard lately, by name.
-func (n *nodes) live(now time.Time) []*wire.Seen {
+// live returns the instances observed within instanceTimeout, sorted by name.
+func (n *instances) live(now time.Time) []*wire.Seen {
 	var out []*wire.Seen
-	for _, name := range slices.Sorted(maps.Keys(n.seen)) {
-		if s := n.seen[name]; now.Sub(s.heardAt) <= nodeLife {
-			out = append(out, &wire.Seen{Node: s.node, Age: int64(now.Sub(s.heardAt))})
+	for _, name := range slices.Sorted(maps.Keys(n.active)) {
+		if s := n.active[name]; now.Sub(s.observedAt) <= instanceTimeout {
+			out = append(out, &wire.Seen{Node: s.instance, Age: int64(now.Sub(s.observedAt))})
 		}
 	}
 	return out
 }
 
-// since returns what changed after a count, or all with true where that is not known.
-func (n *nodes) since(now time.Time, counter uint64) ([]*wire.Seen, bool) {
-	if counter == 0 || counter < n.forgotten {
+// since returns the changes after a counter, or the full list and true if those are no longer all known.
+func (n *instances) since(now time.Time, counter uint64) ([]*wire.Seen, bool) {
+	if counter == 0 || counter < n.evictedUpTo {
 		return n.live(now), true
 	}
 	var out []*wire.Seen
-	for _, g := range n.gone {
-		if _, back := n.seen[g.name]; g.changed > counter && !back {
+	for _, g := range n.removed {
+		if _, activeAgain := n.active[g.name]; g.changed > counter && !activeAgain {
 			out = append(out, &wire.Seen{Node: &wire.Node{Name: g.name, Lost: true}})
 		}
 	}
-	for _, name := range n.trail.since(counter, n.last) {
-		out = append(out, &wire.Seen{Node: n.seen[name].node})
+	for _, name := range n.changeLog.since(counter, n.lastChange) {
+		out = append(out, &wire.Seen{Node: n.active[name].instance})
 	}
 	return out, false
 }
 
-// own returns the instances that call here.
-func (n *nodes) own(now time.Time) []*wire.Seen {
+// connected returns the instances that call this controller directly.
+func (n *instances) connected(now time.Time) []*wire.Seen {
 	var out []*wire.Seen
-	for _, s := range n.seen {
-		if s.home {
-			out = append(out, &wire.Seen{Node: s.node, Age: int64(now.Sub(s.heardAt))})
+	for _, s := range n.active {
+		if s.direct {
+			out = append(out, &wire.Seen{Node: s.instance, Age: int64(now.Sub(s.observedAt))})
 		}
 	}
 	return out
 }
 
-// ObserveInstance notes an entry instance's own call.
+// ObserveInstance records a call of an entry instance to this controller.
 func (g *Gossiper) ObserveInstance(now time.Time, n *wire.Node) {
 	g.init()
-	g.counter = g.nodes.sight(n, now, true, g.counter)
+	g.counter = g.instances.observe(n, now, true, g.counter)
 }
 
-// Instances returns the entry instances heard lately, by name.
-func (g *Gossiper) Instances(now time.Time) []*wire.Seen { return g.nodes.live(now) }
+// Instances returns the entry instances observed by any controller within instanceTimeout, sorted by name.
+func (g *Gossiper) Instances(now time.Time) []*wire.Seen { return g.instances.live(now) }
--- a/core/gossiper/trail.go
+++ b/core/gossiper/trail.go
@@ -2,47 +2,47 @@
 
 import "sort"
 
-// trail lists what changed, oldest change first. It answers the picture of many targets of which few change: what a
-// watcher lacks is found without a walk over all that it knows already, which a controller would do some hundred times a
-// second.
-type trail struct {
-	steps []step
+// changeLog lists changes, oldest first. It finds the changes that a watcher lacks without a scan of all names, most of
+// which have not changed; a controller would make that scan some hundred times a second.
+type changeLog struct {
+	entries []changeEntry
 }
 
-// step says that a name changed at a count. It is out of date when the name has changed again.
-type step struct {
+// changeEntry records that a name changed at a counter. It is obsolete once the name has changed again.
+type changeEntry struct {
 	counter uint64
 	name    string
 }
 
-// minSteps is how many steps are kept at least before those that are out of date are sorted out.
-const minSteps = 64
+// minEntries is how many entries are kept before obsolete ones are removed.
+const minEntries = 64
 
-// add notes a change. Last tells the count at which a name changed last, zero if it is forgotten.
-func (t *trail) add(counter uint64, name string, last func(name string) uint64) {
-	if len(t.steps) == cap(t.steps) && len(t.steps) >= minSteps {
-		t.compact(last)
+// add appends a change. lastChange returns the counter at which a name last changed, or 0 if the name is no longer
+// tracked.
+func (t *changeLog) add(counter uint64, name string, lastChange func(name string) uint64) {
+	if len(t.entries) == cap(t.entries) && len(t.entries) >= minEntries {
+		t.compact(lastChange)
 	}
-	t.steps = append(t.steps, step{counter, name})
+	t.entries = append(t.entries, changeEntry{counter, name})
 }
 
-func (t *trail) compact(last func(name string) uint64) {
+func (t *changeLog) compact(lastChange func(name string) uint64) {
 	live := 0
-	for _, s := range t.steps {
-		if last(s.name) == s.counter {
-			t.steps[live] = s
+	for _, s := range t.entries {
+		if lastChange(s.name) == s.counter {
+			t.entries[live] = s
 			live++
 		}
 	}
-	t.steps = append(make([]step, 0, max(minSteps, 2*live)), t.steps[:live]...)
+	t.entries = append(make([]changeEntry, 0, max(minEntries, 2*live)), t.entries[:live]...)
 }
 
-// since returns the names whose last change came after a count, in the order of those changes.
-func (t *trail) since(counter uint64, last func(name string) uint64) []string {
-	at := sort.Search(len(t.steps), func(i int) bool { return t.steps[i].counter > counter })
+// since returns the names whose last change came after a counter, in the order of those changes.
+func (t *changeLog) since(counter uint64, lastChange func(name string) uint64) []string {
+	at := sort.Search(len(t.entries), func(i int) bool { return t.entries[i].counter > counter })
 	var out []string
-	for _, s := range t.steps[at:] {
-		if last(s.name) == s.counter {
+	for _, s := range t.entries[at:] {
+		if lastChange(s.name) == s.counter {
 			out = append(out, s.name)
 		}
 	}
--- a/core/replicator/membership.go
+++ b/core/replicator/membership.go
@@ -11,11 +11,12 @@
 	"chervilrail.example/core/wire"
 )
 
-// maxMembers bounds the replicas of a group, learners included; the leader sends to each.
+// maxMembers bounds the replicas of a group, learners included, since the leader sends to each of them.
 const maxMembers = 16
 
-// askToJoin announces a replica without a seat; the caller sends the message to every other controller.
-func (r *Replica) askToJoin() {
+// requestJoin queues the join request of a replica without a vote; the caller sends the message to every other
+// controller.
+func (r *Replica) requestJoin() {
 	r.outbox = append(r.outbox, &wire.Message{
 		Kind:  wire.MessageKind_MESSAGE_JOIN,
 		Group: r.Group,
@@ -23,11 +24,11 @@
 	})
 }
 
-// handleJoin passes a join on to the leader: a newcomer knows a few addresses only, and the leader may be at none
-// of them.
+// handleJoin records a join request on the leader; another replica forwards it to the leader. A new replica knows a few
+// addresses only, and none of them may be the leader's.
 func (r *Replica) handleJoin(m *wire.Message) {
 	if r.role == Leader {
-		r.joiners[keyOf(m.GetFrom())] = m.GetFrom()
+		r.joiners[idOf(m.GetFrom())] = m.GetFrom()
 		return
 	}
 	if r.leader != nil && m.GetTo() == nil {
@@ -37,43 +38,44 @@
 	}
 }
 
-// noteOutsider lets a replica back in whose seat was given away while it was cut off. Its own log still counts
-// it as a voter, so it campaigns in vain and would never ask to join.
-func (r *Replica) noteOutsider(from *wire.Member) {
-	if !r.member(keyOf(from)) {
+// handleNonMember treats a message from a replica outside the replica set as a join request. A replica that was removed
+// while it was cut off still is a voter by its own log, so it campaigns in vain and would never request to join.
+func (r *Replica) handleNonMember(from *wire.Member) {
+	if !r.isMember(idOf(from)) {
 		r.handleJoin(&wire.Message{From: from})
 	}
 }
 
-// arrangeMembers makes at most one membership change at a time: a new disk is first a replica without
-// a vote, and gets the vote only when it durably holds everything committed. A disk that voted while
-// empty could elect a leader that lacks an acknowledged change.
-func (r *Replica) arrangeMembers(now time.Time) {
+// reconcileMembers makes at most one membership change at a time. A new disk joins as a learner, and gets a vote only
+// when it durably holds everything committed: a disk that voted while empty could elect a leader that lacks an
+// acknowledged change.
+func (r *Replica) reconcileMembers(now time.Time) {
 	if r.commit < r.termStart || r.log.configIndex() > r.commit {
 		return
 	}
 	if r.promote(now) || r.admit(now) {
 		return
 	}
-	r.dismiss(now)
+	r.removeSilentLearner(now)
 }
 
-// promote gives a vote to a replica that has caught up, if a seat is free or falls free.
+// promote gives a vote to a learner that has caught up, if there are fewer than MaxVoters voters. It first removes the
+// member that the learner replaces, if any. It reports whether it changed the replica set.
 func (r *Replica) promote(now time.Time) bool {
 	for _, m := range r.log.config().GetMembers() {
 		match, recent := r.Match(now, m)
 		if m.GetVoter() || !recent || match < r.commit {
 			continue
 		}
-		if r.freeSeat(now, m) {
+		if r.removeReplaced(now, m) {
 			return true
 		}
-		if len(r.voters()) >= r.Seats {
+		if len(r.voters()) >= r.MaxVoters {
 			continue
 		}
 		config := cloneConfig(r.log.config())
 		for _, c := range config.GetMembers() {
-			if keyOf(c) == keyOf(m) {
+			if idOf(c) == idOf(m) {
 				c.Voter = true
 			}
 		}
@@ -83,12 +85,13 @@
 	return false
 }
 
-// freeSeat takes the seat of the learner's lost predecessor, or, with all seats taken, of a voter that has been
-// silent for long: a group that waits for an instance that is gone for good survives one loss less.
-func (r *Replica) freeSeat(now time.Time, learner *wire.Member) bool {
+// removeReplaced removes the former disk of a learner's replica name or, if there are MaxVoters voters, a voter that
+// has been silent for Timing.ReplaceAfter. A group that waits for an instance that never returns survives one loss
+// less.
+func (r *Replica) removeReplaced(now time.Time, learner *wire.Member) bool {
 	config := cloneConfig(r.log.config())
 	at := predecessor(config, learner)
-	if at < 0 && len(r.voters()) >= r.Seats {
+	if at < 0 && len(r.voters()) >= r.MaxVoters {
 		at = slices.IndexFunc(config.GetMembers(), func(m *wire.Member) bool { return m.GetVoter() && r.silent(now, m) })
 	}
 	if at < 0 {
@@ -99,15 +102,15 @@
 	return true
 }
 
-// predecessor finds another disk of the same replica name.
+// predecessor returns the index of another disk of the same replica name, or -1.
 func predecessor(c *wire.Config, m *wire.Member) int {
 	return slices.IndexFunc(c.GetMembers(), func(o *wire.Member) bool {
 		return o.GetName() == m.GetName() && o.GetIncarnation() != m.GetIncarnation()
 	})
 }
 
-// dismiss drops a replica without a vote that stopped answering; it joins again when it is back.
-func (r *Replica) dismiss(now time.Time) {
+// removeSilentLearner removes a learner that has stopped answering; it joins again when it is back.
+func (r *Replica) removeSilentLearner(now time.Time) {
 	at := slices.IndexFunc(r.log.config().GetMembers(), func(m *wire.Member) bool {
 		return !m.GetVoter() && r.silent(now, m)
 	})
@@ -120,10 +123,10 @@
 }
 
 func (r *Replica) admit(now time.Time) bool {
-	for _, k := range sortedKeys(r.joiners) {
+	for _, k := range sortedIDs(r.joiners) {
 		j := r.joiners[k]
 		delete(r.joiners, k)
-		if r.member(k) || !r.seatFree(now, j) || len(r.log.config().GetMembers()) >= maxMembers {
+		if r.isMember(k) || !r.mayJoin(now, j) || len(r.log.config().GetMembers()) >= maxMembers {
 			continue
 		}
 		config := cloneConfig(r.log.config())
@@ -136,19 +139,19 @@
 	return false
 }
 
-func sortedKeys(joiners map[key]*wire.Member) []key {
-	return slices.SortedFunc(maps.Keys(joiners), func(a, b key) int {
+func sortedIDs(joiners map[memberID]*wire.Member) []memberID {
+	return slices.SortedFunc(maps.Keys(joiners), func(a, b memberID) int {
 		return cmp.Or(cmp.Compare(a.name, b.name), cmp.Compare(a.incarnation, b.incarnation))
 	})
 }
 
-func (r *Replica) member(k key) bool {
-	return slices.ContainsFunc(r.log.config().GetMembers(), func(m *wire.Member) bool { return keyOf(m) == k })
+func (r *Replica) isMember(k memberID) bool {
+	return slices.ContainsFunc(r.log.config().GetMembers(), func(m *wire.Member) bool { return idOf(m) == k })
 }
 
-// seatFree holds a newcomer off while another disk of its name still answers: two processes started
-// under one name by mistake must not push each other out in turn.
-func (r *Replica) seatFree(now time.Time, j *wire.Member) bool {
+// mayJoin refuses a new replica while another disk of its name still answers: two processes started under one name by
+// mistake must not replace each other in turn.
+func (r *Replica) mayJoin(now time.Time, j *wire.Member) bool {
 	at := predecessor(r.log.config(), j)
 	if at < 0 {
 		return true
@@ -156,10 +159,10 @@
 	return r.silent(now, r.log.config().GetMembers()[at])
 }
 
-// silent reports whether a member has not answered this leader for the time after which it may be replaced,
-// counted from when the leader began to send to it.
+// silent reports whether a member has not answered this leader for Timing.ReplaceAfter, counted at the earliest from
+// when the leader began to send to it.
 func (r *Replica) silent(now time.Time, m *wire.Member) bool {
-	p, ok := r.peers[keyOf(m)]
+	p, ok := r.peers[idOf(m)]
 	if !ok {
 		return false
 	}
--- a/core/replicator/replication.go
+++ b/core/replicator/replication.go
@@ -6,7 +6,7 @@
 	"chervilrail.example/core/wire"
 )
 
-// Step takes one message from another replica.
+// Step processes one message from another replica.
 func (r *Replica) Step(now time.Time, m *wire.Message) {
 	if !r.addressed(m) {
 		return
@@ -32,8 +32,8 @@
 	}
 }
 
-// addressed drops messages meant for another disk or group. A replica whose disk was replaced would
-// otherwise answer for the entries its old disk acknowledged, and a committed change could vanish.
+// addressed reports whether a message is meant for this disk and group. A replica whose disk was replaced would
+// otherwise answer for the entries that its old disk acknowledged, and a committed change could be lost.
 func (r *Replica) addressed(m *wire.Message) bool {
 	if m.GetFrom() == nil {
 		return false
@@ -41,7 +41,7 @@
 	if m.GetKind() == wire.MessageKind_MESSAGE_JOIN {
 		return m.GetGroup() == 0 || m.GetGroup() == r.Group
 	}
-	if keyOf(m.GetTo()) != keyOf(r.Self) {
+	if idOf(m.GetTo()) != idOf(r.Self) {
 		return false
 	}
 	if r.Group == 0 {
@@ -50,7 +50,7 @@
 	return m.GetGroup() == r.Group
 }
 
-// sendAppend sends a replica what it lacks, or an empty heartbeat.
+// sendAppend sends a replica the entries it lacks, or an empty heartbeat.
 func (r *Replica) sendAppend(now time.Time, p *progress) {
 	if p.next <= r.log.snapshot.GetIndex() {
 		r.sendSnapshot(now, p)
@@ -96,7 +96,7 @@
 
 func (r *Replica) sendSnapshot(now time.Time, p *progress) {
 	if now.Before(p.resendAt) {
-		// The heartbeat still goes out, so that a replica that is catching up hears the leader.
+		// The heartbeat is still sent, so that a replica that is catching up keeps receiving messages of the leader.
 		r.send(p.member, &wire.Message{
 			Kind:  wire.MessageKind_MESSAGE_APPEND,
 			Term:  r.term,
@@ -114,14 +114,14 @@
 	})
 }
 
-// follow accepts the sender as leader, or reports that its term is over.
-func (r *Replica) follow(now time.Time, m *wire.Message) bool {
+// acceptLeader accepts the sender as leader, or rejects its message if its term is over.
+func (r *Replica) acceptLeader(now time.Time, m *wire.Message) bool {
 	if m.GetTerm() < r.term {
 		r.reply(m, &wire.Message{Reject: true, Hint: r.log.last()})
 		return false
 	}
 	r.becomeFollower(now, m.GetTerm(), m.GetFrom())
-	r.quietUntil = now.Add(r.Timing.Election)
+	r.noVoteUntil = now.Add(r.Timing.Election)
 	return true
 }
 
@@ -133,11 +133,11 @@
 }
 
 func (r *Replica) handleAppend(now time.Time, m *wire.Message) {
-	if !r.follow(now, m) {
+	if !r.acceptLeader(now, m) {
 		return
 	}
 	if m.GetIndex() < r.commit {
-		// Entries at or below the commit index are equal on both sides, so the answer is how far that goes.
+		// Entries at or below the commit index are equal on both sides; they are skipped, and the reply covers them.
 		r.acceptAfterCommit(m)
 		return
 	}
@@ -164,7 +164,7 @@
 		if e.GetIndex() != r.log.last()+1 && e.GetIndex() > r.log.last() {
 			break
 		}
-		r.unsaved = min(r.unsaved, e.GetIndex())
+		r.firstUnsaved = min(r.firstUnsaved, e.GetIndex())
 		r.saved = min(r.saved, e.GetIndex()-1)
 		r.log.append(e)
 	}
@@ -185,27 +185,27 @@
 	if r.role != Leader || m.GetTerm() < r.term {
 		return
 	}
-	p, ok := r.peers[keyOf(m.GetFrom())]
+	p, ok := r.peers[idOf(m.GetFrom())]
 	if !ok {
 		return
 	}
-	r.confirm(p, m.GetRound())
+	r.recordConfirmation(p, m.GetRound())
 	if m.GetReject() {
-		r.stepBack(now, p, m)
+		r.handleRejection(now, p, m)
 		return
 	}
-	r.matched(now, p, m.GetIndex())
+	r.handleAccepted(now, p, m.GetIndex())
 }
 
-// confirm counts a lease from when the round was sent, never from when its answer came.
-func (r *Replica) confirm(p *progress, round uint64) {
+// recordConfirmation counts a lease from when the round was sent, never from when its reply arrived.
+func (r *Replica) recordConfirmation(p *progress, round uint64) {
 	sent, ok := r.rounds[round]
 	if ok && sent.After(p.confirmed) {
 		p.confirmed = sent
 	}
 }
 
-func (r *Replica) stepBack(now time.Time, p *progress, m *wire.Message) {
+func (r *Replica) handleRejection(now time.Time, p *progress, m *wire.Message) {
 	if m.GetIndex() > r.log.last() {
 		return
 	}
@@ -213,8 +213,8 @@
 		return
 	}
 	if m.GetHint() < p.match {
-		// An old refusal, or a replica that lost what it acknowledged. Answering at once could go on for
-		// ever; the next heartbeat asks again.
+		// A late rejection, or a replica that lost what it acknowledged. An immediate retry could repeat endlessly; the
+		// next heartbeat retries.
 		return
 	}
 	p.next = max(p.match+1, min(m.GetHint()+1, r.log.last()+1))
@@ -224,7 +224,7 @@
 	r.sendAppend(now, p)
 }
 
-func (r *Replica) matched(now time.Time, p *progress, index uint64) {
+func (r *Replica) handleAccepted(now time.Time, p *progress, index uint64) {
 	if p.inflight > 0 {
 		p.inflight--
 	}
@@ -240,7 +240,7 @@
 }
 
 func (r *Replica) handleSnapshot(now time.Time, m *wire.Message) {
-	if !r.follow(now, m) {
+	if !r.acceptLeader(now, m) {
 		return
 	}
 	s := m.GetSnapshot()
@@ -256,11 +256,11 @@
 		return
 	}
 	r.log.reset(s)
-	r.restored = s
+	r.pendingSnapshot = s
 	r.commit = s.GetIndex()
 	r.applied = s.GetIndex()
 	r.saved = s.GetIndex()
-	r.unsaved = s.GetIndex() + 1
-	r.dirty = true
+	r.firstUnsaved = s.GetIndex() + 1
+	r.voteUnsaved = true
 	r.reply(m, &wire.Message{Index: s.GetIndex()})
 }
--- a/core/replicator/snapshot_test.go
+++ b/core/replicator/snapshot_test.go
@@ -8,14 +8,14 @@
 	"chervilrail.example/core/wire"
 )
 
-// A snapshot that was sent long ago arrives after the replica has stored and acknowledged entries beyond
-// it. Dropping those would take back an acknowledgement that a leader may have counted: an accepted change
-// could vanish with the next loss, and the leader would offer entries for ever that the replica refuses.
+// A delayed snapshot arrives after the replica has stored and acknowledged entries beyond it. Dropping those would
+// revoke an acknowledgement that a leader may have counted: an accepted change could be lost with the next failure, and
+// the leader would endlessly offer entries that the replica rejects.
 func TestLateSnapshotKeepsAcknowledgedEntries(t *testing.T) {
 	is := is.New(t)
-	g := newGroup(catcher{}, 1, 3)
-	n := g.nodes[1]
-	from := g.nodes[0].disk.self
+	g := newGroup(panicReporter{}, 1, 3)
+	n := g.replicas[1]
+	from := g.replicas[0].disk.self
 	var entries []*wire.Entry
 	for i := range uint64(4) {
 		entries = append(entries, &wire.Entry{Index: 2 + i, Term: 1})
