--- a/entry/internal/forwarder/door.go
+++ b/entry/internal/forwarder/admission.go
@@ -12,27 +12,27 @@
 	"chervilrail.example/entry/internal/refuser"
 )
 
-// door guards one service: its queue, its concurrency and its retry budget.
-type door struct {
+// admission guards one service: its queue, its concurrency and its retry budget.
+type admission struct {
 	mu     sync.Mutex
 	queue  admitter.Admitter
 	limit  tuner.Tuner
 	view   *directory.View
 	budget *retrier.Budget
-	// answer is the smoothed time to an answer's header.
-	answer time.Duration
+	// responseTime is the smoothed time to an responseTime's header.
+	responseTime time.Duration
 }
 
 const (
-	// silenceParts: no answer for this many times the usual is taken for a silent connection.
-	silenceParts = 8
-	minSilence   = time.Second
+	// responseTimeoutFactor: no answer for this many times the usual is taken for a silent connection.
+	responseTimeoutFactor = 8
+	minResponseTimeout    = time.Second
 )
 
-func newDoor() *door { return &door{budget: retrier.New()} }
+func newAdmission() *admission { return &admission{budget: retrier.New()} }
 
-// follow fits the concurrency to a new view.
-func (d *door) follow(now time.Time, v *directory.View, service string) {
+// applyView fits the concurrency to a new view.
+func (d *admission) applyView(now time.Time, v *directory.View, service string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.view == v {
@@ -45,38 +45,38 @@
 	d.resize(now)
 }
 
-func (d *door) resize(now time.Time) {
+func (d *admission) resize(now time.Time) {
 	if d.limit.Limit() != d.queue.Capacity() {
-		announce(d.queue.SetCapacity(now, d.limit.Limit()))
+		notifyAdmitted(d.queue.SetCapacity(now, d.limit.Limit()))
 	}
 }
 
-// announce tells waiting requests that they are admitted.
-func announce(tickets []*admitter.Ticket) {
+// notifyAdmitted tells waiting requests that they are admitted.
+func notifyAdmitted(tickets []*admitter.Ticket) {
 	for _, t := range tickets {
 		t.Decided <- admitter.Decision{Admitted: true}
 	}
 }
 
-func (d *door) offer(now time.Time, t *admitter.Ticket) (admitter.Decision, bool) {
+func (d *admission) offer(now time.Time, t *admitter.Ticket) (admitter.Decision, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.queue.Offer(now, t)
 }
 
-func (d *door) done(t *admitter.Ticket) {
+func (d *admission) done(t *admitter.Ticket) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	announce(d.queue.Done(time.Now(), t))
+	notifyAdmitted(d.queue.Done(time.Now(), t))
 }
 
-func (d *door) cancel(t *admitter.Ticket) {
+func (d *admission) cancel(t *admitter.Ticket) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	announce(d.queue.Cancel(time.Now(), t))
+	notifyAdmitted(d.queue.Cancel(time.Now(), t))
 }
 
-func (d *door) expire(now time.Time) {
+func (d *admission) expire(now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, t := range d.queue.Expire(now) {
@@ -84,44 +84,44 @@
 	}
 }
 
-// succeed feeds the concurrency limit and the retry budget.
-func (d *door) succeed(now time.Time, took time.Duration) {
+// recordSuccess feeds the concurrency limit and the retry budget.
+func (d *admission) recordSuccess(now time.Time, took time.Duration) {
 	d.budget.Succeed()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.answer += (took - d.answer) / smoothing
+	d.responseTime += (took - d.responseTime) / smoothing
 	d.limit.Succeed(d.queue.Running() >= d.queue.Capacity())
 	d.resize(now)
 }
 
-// shed notes that a target refused work for want of room.
-func (d *door) shed(now time.Time) {
+// recordShed notes that a target refused work for want of room.
+func (d *admission) recordShed(now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.limit.Shed(now)
 	d.resize(now)
 }
 
-func (d *door) retryAt(now time.Time, j *job) time.Time {
+func (d *admission) retryAt(now time.Time, j *job) time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.queue.RetryAt(now, j.entry.Class)
 }
 
-func (d *door) silence() time.Duration {
+func (d *admission) responseTimeout() time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return max(minSilence, silenceParts*d.answer)
+	return max(minResponseTimeout, responseTimeoutFactor*d.responseTime)
 }
 
-func (d *door) spare() int64 {
+func (d *admission) spare() int64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return int64(max(0, d.queue.Capacity()-d.queue.Running()-d.queue.Waiting()))
 }
 
 // admit waits for the request's turn.
-func (f *Forwarder) admit(j *job, d *door) (*admitter.Ticket, *refuser.Refusal) {
+func (f *Forwarder) admit(j *job, d *admission) (*admitter.Ticket, *refuser.Refusal) {
 	now := time.Now()
 	t := &admitter.Ticket{
 		Class:        j.entry.Class,
--- a/entry/internal/forwarder/attempt.go
+++ b/entry/internal/forwarder/attempt.go
@@ -19,10 +19,10 @@
 )
 
 const (
-	// settlePause is how soon a place is looked for again while all targets are full.
-	settlePause = 2 * time.Millisecond
-	// placePatience bounds that search.
-	placePatience = time.Second
+	// placeRetryInterval is how soon a place is looked for again while all targets are full.
+	placeRetryInterval = 2 * time.Millisecond
+	// placeTimeout bounds that search.
+	placeTimeout = time.Second
 )
 
 // result is how the attempts of a request ended: a response to relay, or a refusal.
@@ -35,34 +35,34 @@
 	ending  retrier.Ending
 	// took is the time to the response's header.
 	took time.Duration
-	// silent is set when the attempt was ended for want of any answer.
-	silent bool
+	// timedOut is set when the attempt was ended for want of any answer.
+	timedOut bool
 }
 
 // attempts tries targets until one answers or there is no more reason to try.
-func (f *Forwarder) attempts(j *job, d *door) result {
+func (f *Forwarder) attempts(j *job, d *admission) result {
 	var tried []*balancer.Target
 	// ending is the least certain of all attempts so far: once one may have run the request, no later
 	// failure makes it certain again that it did not run.
 	ending := retrier.Unrun
 	for {
-		u, refusal := f.place(j, d, tried)
+		u, refusal := f.reserveTarget(j, d, tried)
 		if refusal != nil {
 			return result{refusal: qualify(refusal, ending), ending: ending}
 		}
 		j.tries++
-		out := f.attempt(j, u, f.silence(j, d))
+		out := f.attempt(j, u, f.responseTimeout(j, d))
 		now := time.Now()
 		if out.ending == retrier.Answered {
-			f.noteAnswer(now, j, d, out)
+			f.recordAnswer(now, j, d, out)
 			return out
 		}
 		u.Release()
-		f.noteFailure(now, j, d, u, out)
+		f.recordFailure(now, j, d, u, out)
 		if out.ending == retrier.Unknown {
 			ending = retrier.Unknown
 		}
-		if !out.silent {
+		if !out.timedOut {
 			tried = append(tried, u)
 		}
 		again := j.ctx.Err() == nil && d.budget.Again(retrier.Attempt{
@@ -74,31 +74,31 @@
 		})
 		if !again {
 			out.ending = ending
-			out.refusal = f.giveUp(now, j, d, ending)
+			out.refusal = f.finalRefusal(now, j, d, ending)
 			return out
 		}
 	}
 }
 
-// silence is how long a first attempt may go without any answer; zero sets no limit. A kept connection
+// responseTimeout is how long a first attempt may go without any answer; zero sets no limit. A kept connection
 // that something in between has forgotten swallows requests without an error, and a caller would wait
 // out its whole deadline although new connections work. What may repeat is then sent over another one.
-func (f *Forwarder) silence(j *job, d *door) time.Duration {
+func (f *Forwarder) responseTimeout(j *job, d *admission) time.Duration {
 	if j.tries > 1 || !j.idempotent() || !j.body.replayable() || j.entry.Class == cataloguer.Upload {
 		return 0
 	}
-	return d.silence()
+	return d.responseTimeout()
 }
 
 // attempt sends the request to one target, whose slot is already reserved.
-func (f *Forwarder) attempt(j *job, u *balancer.Target, silence time.Duration) result {
+func (f *Forwarder) attempt(j *job, u *balancer.Target, responseTimeout time.Duration) result {
 	j.target, j.region = u.Name, u.Region
 	start := time.Now()
 	ctx, cancel := f.attemptContext(j)
-	var silent atomic.Bool
-	if silence > 0 {
-		timer := time.AfterFunc(silence, func() {
-			silent.Store(true)
+	var timedOut atomic.Bool
+	if responseTimeout > 0 {
+		timer := time.AfterFunc(responseTimeout, func() {
+			timedOut.Store(true)
 			cancel()
 		})
 		defer timer.Stop()
@@ -110,12 +110,12 @@
 		GotConn: func(httptrace.GotConnInfo) { sent.Store(true) },
 	})
 	//nolint:bodyclose // release closes it
-	response, err := f.lines.transport(u, j.entry.Class).RoundTrip(f.outgoing(ctx, j, u))
+	response, err := f.connections.transport(u, j.entry.Class).RoundTrip(f.outgoing(ctx, j, u))
 	if err != nil {
 		cancel()
-		return result{target: u, ending: endingOf(sent.Load()), silent: silent.Load()}
+		return result{target: u, ending: endingOf(sent.Load()), timedOut: timedOut.Load()}
 	}
-	if shed(response) {
+	if isShed(response) {
 		_ = response.Body.Close()
 		cancel()
 		return result{target: u, ending: retrier.Unrun, refusal: &refuser.Refusal{Reason: "shed"}}
@@ -135,8 +135,8 @@
 	return retrier.Unrun
 }
 
-// shed reports a target's own word that it did not run the request.
-func shed(r *http.Response) bool {
+// isShed reports a target's own word that it did not run the request.
+func isShed(r *http.Response) bool {
 	return r.StatusCode == http.StatusServiceUnavailable &&
 		r.Header.Get(refuser.HeaderOutcome) == string(refuser.NotRun)
 }
@@ -154,15 +154,15 @@
 	return context.WithDeadline(ctx, j.deadline)
 }
 
-// place finds a target with a free slot, in a region whose cap has room.
-func (f *Forwarder) place(j *job, d *door, tried []*balancer.Target) (*balancer.Target, *refuser.Refusal) {
-	patience := time.Now().Add(placePatience)
-	if !j.deadline.IsZero() && j.deadline.Before(patience) {
-		patience = j.deadline
+// reserveTarget finds a target with a free slot, in a region whose cap has room.
+func (f *Forwarder) reserveTarget(j *job, d *admission, tried []*balancer.Target) (*balancer.Target, *refuser.Refusal) {
+	giveUpAt := time.Now().Add(placeTimeout)
+	if !j.deadline.IsZero() && j.deadline.Before(giveUpAt) {
+		giveUpAt = j.deadline
 	}
 	for {
 		now := time.Now()
-		u, capped := f.try(now, j, tried)
+		u, capped := f.reserveInRegions(now, j, tried)
 		if u != nil {
 			return u, nil
 		}
@@ -173,30 +173,30 @@
 		if pool := j.view.Pools[j.entry.Service]; pool == nil || len(pool.Regions()) == 0 {
 			return nil, refuse(http.StatusServiceUnavailable, "targets", "no target is ready", now.Add(time.Second))
 		}
-		if !now.Before(patience) || j.request.Context().Err() != nil {
+		if !now.Before(giveUpAt) || j.request.Context().Err() != nil {
 			return nil, refuse(http.StatusServiceUnavailable, "slots", "no target has room", d.retryAt(now, j))
 		}
-		time.Sleep(settlePause)
+		time.Sleep(placeRetryInterval)
 		if v := f.Views.View(); v != nil {
 			j.view = v
 		}
 	}
 }
 
-// try looks through the regions in order; capped means that slots were free but no cap had room.
-func (f *Forwarder) try(now time.Time, j *job, tried []*balancer.Target) (*balancer.Target, bool) {
+// reserveInRegions looks through the regions in order; capped means that slots were free but no cap had room.
+func (f *Forwarder) reserveInRegions(now time.Time, j *job, tried []*balancer.Target) (*balancer.Target, bool) {
 	pool := j.view.Pools[j.entry.Service]
 	if pool == nil {
 		return nil, false
 	}
 	regions := pool.Regions()
 	capped := false
-	for _, region := range f.order(j, regions) {
+	for _, region := range f.orderRegions(j, regions) {
 		u := f.balancer.Choose(now, pool, region, tried)
 		if u == nil {
 			continue
 		}
-		if f.take(now, j, regions[0], region) {
+		if f.takeLimits(now, j, regions[0], region) {
 			return u, false
 		}
 		u.Release()
@@ -208,40 +208,40 @@
 	return nil, capped
 }
 
-// take uses the limits of a request that goes from its home region to another. Everything that reaches a
+// takeLimits uses the limits of a request that goes from its home region to another. Everything that reaches a
 // shift's new region counts against the shift's cap, also what comes over because home is full: its cold
 // caches can't tell the two apart.
-func (f *Forwarder) take(now time.Time, j *job, home, region string) bool {
+func (f *Forwarder) takeLimits(now time.Time, j *job, home, region string) bool {
 	for _, s := range j.view.Catalogue.Shifts {
 		if s.Service == j.entry.Service && s.From == home && s.To == region {
-			if !f.takeOne(now, cataloguer.ShiftResource(s.Name)) {
+			if !f.takeLimit(now, cataloguer.ShiftResource(s.Name)) {
 				return false
 			}
 		}
 	}
-	return f.takeOne(now, cataloguer.RegionResource(region))
+	return f.takeLimit(now, cataloguer.RegionResource(region))
 }
 
-func (f *Forwarder) takeOne(now time.Time, resource string) bool {
+func (f *Forwarder) takeLimit(now time.Time, resource string) bool {
 	f.Holder.Demand(now, resource, 1)
 	return f.Holder.Take(now, resource, 1)
 }
 
-// order puts the regions in the order to try, a shift's new region before its old one for the part of
+// orderRegions puts the regions in the orderRegions to try, a shift's new region before its old one for the part of
 // the requests that the shift has reached.
-func (f *Forwarder) order(j *job, regions []string) []string {
+func (f *Forwarder) orderRegions(j *job, regions []string) []string {
 	if len(regions) < 2 {
 		return regions
 	}
 	for _, s := range j.view.Catalogue.Shifts {
 		if s.Service == j.entry.Service && s.From == regions[0] && f.ramps.chosen(s.Name) {
-			return preferred(regions, s.To)
+			return moveToFront(regions, s.To)
 		}
 	}
 	return regions
 }
 
-func preferred(regions []string, first string) []string {
+func moveToFront(regions []string, first string) []string {
 	out := []string{first}
 	for _, r := range regions {
 		if r != first {
@@ -251,26 +251,26 @@
 	return out
 }
 
-func (f *Forwarder) noteAnswer(now time.Time, j *job, d *door, out result) {
+func (f *Forwarder) recordAnswer(now time.Time, j *job, d *admission, out result) {
 	out.target.Succeed()
-	d.succeed(now, out.took)
+	d.recordSuccess(now, out.took)
 	if f.Quarantine.Succeed(now, j.fingerprint) {
 		f.LossBroadcaster.BroadcastLoss(&wire.Loss{Fingerprint: j.fingerprint[:], Success: true})
 	}
 }
 
-func (f *Forwarder) noteFailure(now time.Time, j *job, d *door, u *balancer.Target, out result) {
-	f.Metrics.retried(out)
+func (f *Forwarder) recordFailure(now time.Time, j *job, d *admission, u *balancer.Target, out result) {
+	f.Metrics.countFailure(out)
 	if out.refusal != nil {
-		d.shed(now)
+		d.recordShed(now)
 		return
 	}
 	late := !j.deadline.IsZero() && !now.Before(j.deadline)
-	if out.silent || late {
+	if out.timedOut || late {
 		// Connections of one age are often forgotten together.
-		f.lines.retire(u)
+		f.connections.closeIdle(u)
 	}
-	if out.silent {
+	if out.timedOut {
 		_ = level.Warn(f.Logger).Log("msg", "connection silent", "target", u.Name, "entry", j.entry.Name)
 		return
 	}
@@ -278,7 +278,7 @@
 		return
 	}
 	u.Fail(now)
-	f.ramps.failed(u.Region)
+	f.ramps.recordFailure(u.Region)
 	if out.ending != retrier.Unknown {
 		return
 	}
@@ -303,8 +303,8 @@
 	return refusal
 }
 
-// giveUp words the final answer. Only what is certain counts as not run.
-func (f *Forwarder) giveUp(now time.Time, j *job, d *door, ending retrier.Ending) *refuser.Refusal {
+// finalRefusal words the final answer. Only what is certain counts as not run.
+func (f *Forwarder) finalRefusal(now time.Time, j *job, d *admission, ending retrier.Ending) *refuser.Refusal {
 	refusal := refuse(http.StatusServiceUnavailable, "failed", "the targets can't take the request", d.retryAt(now, j))
 	if ending == retrier.Unrun {
 		return refusal
--- a/entry/internal/forwarder/body.go
+++ b/entry/internal/forwarder/body.go
@@ -10,15 +10,15 @@
 )
 
 const (
-	// aheadSize is how much of a streamed body is read ahead for its fingerprint.
-	aheadSize = 4 << 10
-	// keepSize is the largest body that is kept whole, so that it can be sent again.
-	keepSize = 64 << 10
-	// onceSize is the largest body of a request that must not repeat; it is read whole before the claim,
+	// readAheadSize is how much of a streamed body is read ahead for its fingerprint.
+	readAheadSize = 4 << 10
+	// maxBufferedBody is the largest body that is kept whole, so that it can be sent again.
+	maxBufferedBody = 64 << 10
+	// maxOnceBody is the largest body of a request that must not repeat; it is read whole before the claim,
 	// so that a caller that breaks off never leaves half a booking.
-	onceSize = 1 << 20
-	// stall is how long a transfer may make no progress.
-	stall = 30 * time.Second
+	maxOnceBody = 1 << 20
+	// stallTimeout is how long a transfer may make no progress.
+	stallTimeout = 30 * time.Second
 )
 
 // body is a request body, read ahead in part or whole.
@@ -38,12 +38,12 @@
 		return b, nil
 	}
 	if whole {
-		limit = min(limit, onceSize)
+		limit = min(limit, maxOnceBody)
 	}
 	source := &stallReader{http.MaxBytesReader(w, r.Body, limit), http.NewResponseController(w)}
-	first := int64(aheadSize)
-	if whole || r.ContentLength >= 0 && r.ContentLength <= keepSize {
-		first = max(limit, keepSize) + 1
+	first := int64(readAheadSize)
+	if whole || r.ContentLength >= 0 && r.ContentLength <= maxBufferedBody {
+		first = max(limit, maxBufferedBody) + 1
 	}
 	var buffer bytes.Buffer
 	n, err := io.CopyN(&buffer, source, first)
@@ -98,7 +98,7 @@
 }
 
 func (s *stallReader) Read(p []byte) (int, error) {
-	_ = s.controller.SetReadDeadline(time.Now().Add(stall))
+	_ = s.controller.SetReadDeadline(time.Now().Add(stallTimeout))
 	return s.ReadCloser.Read(p)
 }
 
--- a/entry/internal/forwarder/lines.go
+++ b/entry/internal/forwarder/connections.go
@@ -19,51 +19,51 @@
 
 const (
 	dialTimeout = 2 * time.Second
-	// idleLife closes kept connections of requests that may repeat.
-	idleLife = 90 * time.Second
-	// onceIdleLife is short: a connection that has been quiet for long may have been forgotten by
+	// idleTimeout closes kept connections of requests that may repeat.
+	idleTimeout = 90 * time.Second
+	// onceIdleTimeout is short: a connection that has been quiet for long may have been forgotten by
 	// something in between, and a booking sent into it would end unknown.
-	onceIdleLife = time.Second
-	// headerPatience bounds the wait for an upload's answer after its last byte.
-	headerPatience = 2 * time.Minute
-	keepIdle       = 2 * time.Second
-	keepInterval   = time.Second
-	keepCount      = 3
-	// unacknowledged is how long sent bytes may stay unacknowledged before the connection is given up.
-	unacknowledged = 5 * time.Second
-	bufferSize     = 32 << 10
+	onceIdleTimeout = time.Second
+	// headerTimeout bounds the wait for an upload's answer after its last byte.
+	headerTimeout     = 2 * time.Minute
+	keepAliveIdle     = 2 * time.Second
+	keepAliveInterval = time.Second
+	keepAliveCount    = 3
+	// unacknowledgedTimeout is how long sent bytes may stay unacknowledgedTimeout before the connection is given up.
+	unacknowledgedTimeout = 5 * time.Second
+	bufferSize            = 32 << 10
 )
 
-// lines holds the connections to targets.
-type lines struct {
+// connections holds the connections to targets.
+type connections struct {
 	region string
 	holder *granter.Holder
 
-	mu   sync.Mutex
-	open map[*balancer.Target]*line
+	mu       sync.Mutex
+	byTarget map[*balancer.Target]*transports
 }
 
-// line is one target's connections, apart by how they are used.
-type line struct {
+// transports is one target's connections, apart by how they are used.
+type transports struct {
 	plain *http.Transport
 	once  *http.Transport
 	bulk  *http.Transport
 }
 
-func (l *lines) transport(u *balancer.Target, class cataloguer.Class) *http.Transport {
+func (l *connections) transport(u *balancer.Target, class cataloguer.Class) *http.Transport {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.open == nil {
-		l.open = map[*balancer.Target]*line{}
+	if l.byTarget == nil {
+		l.byTarget = map[*balancer.Target]*transports{}
 	}
-	o, ok := l.open[u]
+	o, ok := l.byTarget[u]
 	if !ok {
-		o = &line{
-			plain: l.dialTo(u, idleLife, false),
-			once:  l.dialTo(u, onceIdleLife, false),
-			bulk:  l.dialTo(u, idleLife, true),
+		o = &transports{
+			plain: l.newTransport(u, idleTimeout, false),
+			once:  l.newTransport(u, onceIdleTimeout, false),
+			bulk:  l.newTransport(u, idleTimeout, true),
 		}
-		l.open[u] = o
+		l.byTarget[u] = o
 	}
 	switch class {
 	case cataloguer.Once:
@@ -75,13 +75,13 @@
 	return o.plain
 }
 
-func (l *lines) dialTo(u *balancer.Target, idle time.Duration, bulk bool) *http.Transport {
+func (l *connections) newTransport(u *balancer.Target, idle time.Duration, bulk bool) *http.Transport {
 	dialer := &resetter.Dialer{Dialer: net.Dialer{
 		Timeout: dialTimeout,
 		KeepAliveConfig: net.KeepAliveConfig{
-			Enable: true, Idle: keepIdle, Interval: keepInterval, Count: keepCount,
+			Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount,
 		},
-		Control: limitSilence,
+		Control: setUserTimeout,
 	}}
 	t := &http.Transport{
 		MaxIdleConnsPerHost: int(u.Slots),
@@ -104,18 +104,18 @@
 		},
 	}
 	if bulk {
-		t.ResponseHeaderTimeout = headerPatience
+		t.ResponseHeaderTimeout = headerTimeout
 	}
 	return t
 }
 
-// limitSilence makes the kernel give a connection up when what was sent stays unacknowledged. Something
+// setUserTimeout makes the kernel give a connection up when what was sent stays unacknowledged. Something
 // between the two ends may have lost track of it: requests would vanish in it for a quarter of an hour.
-func limitSilence(_, _ string, c syscall.RawConn) error {
+func setUserTimeout(_, _ string, c syscall.RawConn) error {
 	var failure error
 	err := c.Control(func(fd uintptr) {
 		failure = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT,
-			int(unacknowledged/time.Millisecond))
+			int(unacknowledgedTimeout/time.Millisecond))
 	})
 	if err != nil {
 		return err
@@ -124,7 +124,7 @@
 }
 
 // sweep closes the connections to targets that are gone and have nothing outstanding.
-func (l *lines) sweep(v *directory.View) {
+func (l *connections) sweep(v *directory.View) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	present := map[*balancer.Target]bool{}
@@ -135,33 +135,33 @@
 			}
 		}
 	}
-	for u, o := range l.open {
+	for u, o := range l.byTarget {
 		if !present[u] && u.Outstanding() == 0 {
 			o.close()
-			delete(l.open, u)
+			delete(l.byTarget, u)
 		}
 	}
 }
 
-// retire drops the idle connections to a target, so that the next request opens a new one.
-func (l *lines) retire(u *balancer.Target) {
+// closeIdle drops the idle connections to a target, so that the next request opens a new one.
+func (l *connections) closeIdle(u *balancer.Target) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if o, ok := l.open[u]; ok {
+	if o, ok := l.byTarget[u]; ok {
 		o.close()
 	}
 }
 
-func (o *line) close() {
+func (o *transports) close() {
 	o.plain.CloseIdleConnections()
 	o.once.CloseIdleConnections()
 	o.bulk.CloseIdleConnections()
 }
 
-func (l *lines) closeAll() {
+func (l *connections) closeAll() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, o := range l.open {
+	for _, o := range l.byTarget {
 		o.close()
 	}
 }
--- a/entry/internal/forwarder/errors.go
+++ b/entry/internal/forwarder/errors.go
@@ -2,13 +2,13 @@
 
 import "fmt"
 
-// CutError says that a stop ran out of time with requests still in progress.
-type CutError struct {
+// IncompleteStopError says that a stop ran out of time with requests still in progress.
+type IncompleteStopError struct {
 	Running int64
 }
 
 // Error implements error.
-func (e *CutError) Error() string {
+func (e *IncompleteStopError) Error() string {
 	return fmt.Sprintf("stop forwarding: %d requests were still in progress", e.Running)
 }
 
--- a/entry/internal/forwarder/forwarder.go
+++ b/entry/internal/forwarder/forwarder.go
@@ -21,8 +21,8 @@
 )
 
 const (
-	expireEvery = 20 * time.Millisecond
-	sweepEvery  = 30 * time.Second
+	expireInterval = 20 * time.Millisecond
+	sweepInterval  = 30 * time.Second
 )
 
 // Views gives the newest view of the control state.
@@ -60,16 +60,16 @@
 	// Sample logs one in this many routing decisions.
 	Sample int64
 
-	balancer balancer.Balancer
-	lines    lines
-	ramps    ramps
-	mu       sync.Mutex
-	doors    map[string]*door
-	stopping atomic.Bool
-	running  atomic.Int64
-	decided  atomic.Int64
-	cancel   context.CancelFunc
-	done     chan struct{}
+	balancer    balancer.Balancer
+	connections connections
+	ramps       ramps
+	mu          sync.Mutex
+	admissions  map[string]*admission
+	stopping    atomic.Bool
+	running     atomic.Int64
+	reportCount atomic.Int64
+	cancel      context.CancelFunc
+	done        chan struct{}
 }
 
 // Name implements kernel.Service.
@@ -78,13 +78,13 @@
 // Start begins to keep the queues.
 func (f *Forwarder) Start(context.Context, kernel.Finder) error {
 	f.balancer.Random = rand.Uint64
-	f.doors = map[string]*door{}
-	f.lines.holder = f.Holder
-	f.lines.region = f.Region
+	f.admissions = map[string]*admission{}
+	f.connections.holder = f.Holder
+	f.connections.region = f.Region
 	f.done = make(chan struct{})
 	ctx, cancel := context.WithCancel(context.Background())
 	f.cancel = cancel
-	go f.keep(ctx)
+	go f.maintenanceLoop(ctx)
 	return nil
 }
 
@@ -94,18 +94,18 @@
 		return nil
 	}
 	f.stopping.Store(true)
-	ticker := time.NewTicker(expireEvery)
+	ticker := time.NewTicker(expireInterval)
 	defer ticker.Stop()
 	for f.running.Load() > 0 {
 		select {
 		case <-ctx.Done():
-			return &CutError{Running: f.running.Load()}
+			return &IncompleteStopError{Running: f.running.Load()}
 		case <-ticker.C:
 		}
 	}
 	f.cancel()
 	<-f.done
-	f.lines.closeAll()
+	f.connections.closeAll()
 	return nil
 }
 
@@ -123,12 +123,12 @@
 // Running returns how many requests are in progress.
 func (f *Forwarder) Running() int64 { return f.running.Load() }
 
-// keep refuses queued requests whose time is up, and tidies.
-func (f *Forwarder) keep(ctx context.Context) {
+// maintenanceLoop refuses queued requests whose time is up, and tidies.
+func (f *Forwarder) maintenanceLoop(ctx context.Context) {
 	defer close(f.done)
-	ticker := time.NewTicker(expireEvery)
+	ticker := time.NewTicker(expireInterval)
 	defer ticker.Stop()
-	sweepAt := time.Now().Add(sweepEvery)
+	sweepAt := time.Now().Add(sweepInterval)
 	for {
 		select {
 		case <-ctx.Done():
@@ -136,46 +136,46 @@
 		case <-ticker.C:
 		}
 		now := time.Now()
-		f.tend(now)
+		f.maintain(now)
 		if now.After(sweepAt) {
-			sweepAt = now.Add(sweepEvery)
+			sweepAt = now.Add(sweepInterval)
 			f.Quarantine.Sweep(now)
 		}
 	}
 }
 
-func (f *Forwarder) tend(now time.Time) {
+func (f *Forwarder) maintain(now time.Time) {
 	view := f.Views.View()
 	if view == nil {
 		return
 	}
 	var spare int64
-	for _, d := range f.allDoors() {
+	for _, d := range f.allAdmissions() {
 		d.expire(now)
 		spare += d.spare()
 	}
 	f.Views.SetSpare(spare)
 	f.ramps.step(now, view.Catalogue.Shifts, f.Logger)
-	f.lines.sweep(view)
+	f.connections.sweep(view)
 }
 
-func (f *Forwarder) allDoors() []*door {
+func (f *Forwarder) allAdmissions() []*admission {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	out := make([]*door, 0, len(f.doors))
-	for _, d := range f.doors {
+	out := make([]*admission, 0, len(f.admissions))
+	for _, d := range f.admissions {
 		out = append(out, d)
 	}
 	return out
 }
 
-func (f *Forwarder) door(service string) *door {
+func (f *Forwarder) admission(service string) *admission {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	d, ok := f.doors[service]
+	d, ok := f.admissions[service]
 	if !ok {
-		d = newDoor()
-		f.doors[service] = d
+		d = newAdmission()
+		f.admissions[service] = d
 	}
 	return d
 }
@@ -190,24 +190,24 @@
 	defer func() { f.report(j, r, start, refusal) }()
 	if refusal == nil {
 		defer j.body.close()
-		refusal = f.carry(w, j)
+		refusal = f.forward(w, j)
 	}
 	if refusal != nil {
 		refuser.Write(w, time.Now(), *refusal)
 	}
 }
 
-// carry takes a prepared request through admission, claim and attempts.
-func (f *Forwarder) carry(w http.ResponseWriter, j *job) *refuser.Refusal {
-	d := f.door(j.entry.Service)
-	d.follow(time.Now(), j.view, j.entry.Service)
+// forward takes a prepared request through admission, claim and attempts.
+func (f *Forwarder) forward(w http.ResponseWriter, j *job) *refuser.Refusal {
+	d := f.admission(j.entry.Service)
+	d.applyView(time.Now(), j.view, j.entry.Service)
 	t, refusal := f.admit(j, d)
 	if refusal != nil {
 		return refusal
 	}
 	defer d.done(t)
 	if j.once() {
-		return f.carryOnce(w, j, d)
+		return f.forwardOnce(w, j, d)
 	}
 	result := f.attempts(j, d)
 	if result.refusal != nil {
--- a/entry/internal/forwarder/forwarder_test.go
+++ b/entry/internal/forwarder/forwarder_test.go
@@ -90,14 +90,14 @@
 	return nil
 }
 
-// front is a forwarder over the given targets, served over HTTP.
-type front struct {
+// testEntry is a forwarder over the given targets, served over HTTP.
+type testEntry struct {
 	*httptest.Server
 	forwarder *Forwarder
 	ledger    *fakeLedger
 }
 
-func newFront(t *testing.T, targets ...string) *front {
+func newTestEntry(t *testing.T, targets ...string) *testEntry {
 	t.Helper()
 	is := is.New(t)
 	c, err := cataloguer.Parse("test", []byte(testCatalogue))
@@ -113,7 +113,7 @@
 		Pools:     map[string]*balancer.Pool{"listings": pool},
 		Instances: chooser.New(nil, nil, nil),
 	}}
-	out := &front{ledger: &fakeLedger{}}
+	out := &testEntry{ledger: &fakeLedger{}}
 	out.forwarder = &Forwarder{
 		Instance: "e1", Region: "almaty", Views: views, Holder: &granter.Holder{}, Ledger: out.ledger,
 		LossBroadcaster: views, Quarantine: &quarantiner.Quarantiner{}, Logger: log.NewNopLogger(),
@@ -130,7 +130,7 @@
 	return out
 }
 
-func (f *front) send(t *testing.T, method, path, body string, header http.Header) *http.Response {
+func (f *testEntry) send(t *testing.T, method, path, body string, header http.Header) *http.Response {
 	t.Helper()
 	r, err := http.NewRequest(method, f.URL+path, strings.NewReader(body))
 	is.New(t).NoErr(err)
@@ -158,24 +158,24 @@
 	return http.Header{headerKey: {id.String()}}
 }
 
-// breaker is a target that answers the first request of a connection, and reads the second one and
+// breakingTarget is a target that answers the first request of a connection, and reads the second one and
 // closes without a word. It counts the requests that it read.
-type breaker struct {
+type breakingTarget struct {
 	net.Listener
 	reads atomic.Int32
 }
 
-func newBreaker(t *testing.T) *breaker {
+func newBreakingTarget(t *testing.T) *breakingTarget {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	is.New(t).NoErr(err)
-	b := &breaker{Listener: l}
+	b := &breakingTarget{Listener: l}
 	go b.serve()
 	t.Cleanup(func() { _ = l.Close() })
 	return b
 }
 
-func (b *breaker) serve() {
+func (b *breakingTarget) serve() {
 	for {
 		c, err := b.Accept()
 		if err != nil {
@@ -185,7 +185,7 @@
 	}
 }
 
-func (b *breaker) connection(c net.Conn) {
+func (b *breakingTarget) connection(c net.Conn) {
 	defer func() { _ = c.Close() }()
 	reader := bufio.NewReader(c)
 	for i := range 2 {
@@ -203,10 +203,10 @@
 
 // A target dies after it read a booking on a kept connection. The HTTP client would send the booking
 // again by itself, because its Idempotency-Key says that it may; the seat would be taken twice.
-func TestClientDoesNotResendBookings(t *testing.T) {
+func TestClientDoesNotResendOnceRequests(t *testing.T) {
 	t.Run("naive", func(t *testing.T) {
 		is := is.New(t)
-		b := newBreaker(t)
+		b := newBreakingTarget(t)
 		for range 2 {
 			r, err := http.NewRequest(http.MethodPost, "http://"+b.Addr().String()+"/rsvp", strings.NewReader("seat"))
 			is.NoErr(err)
@@ -221,8 +221,8 @@
 	for _, body := range []string{"seat", ""} {
 		t.Run("ours with body "+body, func(t *testing.T) {
 			is := is.New(t)
-			b := newBreaker(t)
-			f := newFront(t, b.Addr().String())
+			b := newBreakingTarget(t)
+			f := newTestEntry(t, b.Addr().String())
 			is.Equal(f.send(t, http.MethodPost, "/rsvp", body, key(t)).StatusCode, http.StatusOK)
 			assertOutcome(t, f.send(t, http.MethodPost, "/rsvp", body, key(t)), http.StatusBadGateway, refuser.Unknown)
 			is.Equal(b.reads.Load(), int32(2))
@@ -232,19 +232,19 @@
 
 // The first attempt breaks off after it was sent, and no other target is left for a second. That nothing
 // is left to try does not mean that nothing ran, so the caller must not be told so.
-func TestUnknownStaysUnknown(t *testing.T) {
-	b := newBreaker(t)
-	f := newFront(t, b.Addr().String())
+func TestUnknownOutcomeIsKeptWithoutAnotherTarget(t *testing.T) {
+	b := newBreakingTarget(t)
+	f := newTestEntry(t, b.Addr().String())
 	is.New(t).Equal(f.send(t, http.MethodPut, "/a", "x", nil).StatusCode, http.StatusOK)
 	r := f.send(t, http.MethodPut, "/a", "x", nil)
 	is.New(t).Equal(r.Header.Get(refuser.HeaderOutcome), string(refuser.Unknown))
 }
 
-func TestNotRunIsSaidWhenCertain(t *testing.T) {
+func TestNotRunIsReportedWhenCertain(t *testing.T) {
 	closed, err := net.Listen("tcp", "127.0.0.1:0")
 	is.New(t).NoErr(err)
 	is.New(t).NoErr(closed.Close())
-	f := newFront(t, closed.Addr().String())
+	f := newTestEntry(t, closed.Addr().String())
 	t.Run("nobody listens", func(t *testing.T) {
 		assertOutcome(t, f.send(t, http.MethodGet, "/", "", nil), http.StatusServiceUnavailable, refuser.NotRun)
 	})
@@ -272,7 +272,7 @@
 }
 
 func TestBadRequests(t *testing.T) {
-	f := newFront(t, "127.0.0.1:1")
+	f := newTestEntry(t, "127.0.0.1:1")
 	cases := []struct {
 		name   string
 		path   string
@@ -298,12 +298,12 @@
 }
 
 // A caller breaks off in the middle of sending a booking. Half a body must never reach a target.
-func TestBodyThatEndsEarlyIsNotRun(t *testing.T) {
+func TestTruncatedBodyIsNotRun(t *testing.T) {
 	is := is.New(t)
 	var runs atomic.Int32
 	target := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { runs.Add(1) }))
 	t.Cleanup(target.Close)
-	f := newFront(t, target.Listener.Addr().String())
+	f := newTestEntry(t, target.Listener.Addr().String())
 	c, err := net.Dial("tcp", f.Listener.Addr().String())
 	is.NoErr(err)
 	_, err = io.WriteString(c, "POST /rsvp HTTP/1.1\r\nHost: listings\r\nIdempotency-Key: "+key(t).Get(headerKey)+
@@ -325,7 +325,7 @@
 		_, _ = io.WriteString(w, r.URL.Query().Get("id")+":"+string(body))
 	}))
 	t.Cleanup(target.Close)
-	f := newFront(t, target.Listener.Addr().String())
+	f := newTestEntry(t, target.Listener.Addr().String())
 	var group sync.WaitGroup
 	for i := range 40 {
 		group.Go(func() {
@@ -343,7 +343,7 @@
 	group.Wait()
 }
 
-func TestHopByHopHeadersStay(t *testing.T) {
+func TestHopByHopHeadersAreRemoved(t *testing.T) {
 	is := is.New(t)
 	seen := make(chan http.Header, 1)
 	target := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -353,7 +353,7 @@
 		w.Header().Set("X-Public", "yes")
 	}))
 	t.Cleanup(target.Close)
-	f := newFront(t, target.Listener.Addr().String())
+	f := newTestEntry(t, target.Listener.Addr().String())
 	r := f.send(t, http.MethodGet, "/", "", http.Header{
 		"Connection": {"X-Drop"}, "X-Drop": {"1"}, "Te": {"trailers"}, "X-Keep": {"1"},
 	})
@@ -368,13 +368,13 @@
 
 // A change takes a service out of the catalogue while a request of it waits for a slot. The caller must get
 // a refusal that says nothing was run, not a connection that breaks.
-func TestServiceThatIsTakenOutWhileWaiting(t *testing.T) {
+func TestServiceRemovedWhileARequestWaits(t *testing.T) {
 	is := is.New(t)
-	f := newFront(t, "127.0.0.1:1")
+	f := newTestEntry(t, "127.0.0.1:1")
 	view := &directory.View{Catalogue: &cataloguer.Catalogue{}, Pools: map[string]*balancer.Pool{}}
 	r := httptest.NewRequest(http.MethodGet, "/", nil)
 	j := &job{request: r, ctx: r.Context(), view: view, entry: &cataloguer.Entry{Service: "listings"}}
-	_, refusal := f.forwarder.place(j, newDoor(), nil)
+	_, refusal := f.forwarder.reserveTarget(j, newAdmission(), nil)
 	is.True(refusal != nil)
 	is.Equal(refusal.Outcome, refuser.NotRun)
 	is.Equal(refusal.Reason, "targets")
--- a/entry/internal/forwarder/job.go
+++ b/entry/internal/forwarder/job.go
@@ -18,9 +18,9 @@
 )
 
 const (
-	headerKey  = "Idempotency-Key"
-	keyVersion = 7
-	maxKey     = 64
+	headerKey    = "Idempotency-Key"
+	keyVersion   = 7
+	maxKeyLength = 64
 )
 
 // job is one caller's request on its way.
@@ -147,7 +147,7 @@
 	}
 	text := j.request.Header.Get(headerKey)
 	key, err := uuid.Parse(text)
-	if len(text) > maxKey || err != nil || key.Version() != keyVersion {
+	if len(text) > maxKeyLength || err != nil || key.Version() != keyVersion {
 		return refuse(http.StatusBadRequest, "key",
 			headerKey+": expected a version 7 UUID, new for each request and equal in its repeats", time.Time{})
 	}
--- a/entry/internal/forwarder/metrics.go
+++ b/entry/internal/forwarder/metrics.go
@@ -15,12 +15,12 @@
 
 // Metrics are the request metrics of an entry instance.
 type Metrics struct {
-	requests *prometheus.CounterVec
-	duration *prometheus.HistogramVec
-	refused  *prometheus.CounterVec
-	failures *prometheus.CounterVec
-	cut      prometheus.Counter
-	bytes    prometheus.Counter
+	requests      *prometheus.CounterVec
+	duration      *prometheus.HistogramVec
+	refused       *prometheus.CounterVec
+	failures      *prometheus.CounterVec
+	brokenAnswers prometheus.Counter
+	bytes         prometheus.Counter
 }
 
 // NewMetrics registers the metrics.
@@ -39,18 +39,18 @@
 		failures: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Namespace: namespace, Name: "attempt_failures_total", Help: "Failed attempts by kind.",
 		}, []string{"kind"}),
-		cut: prometheus.NewCounter(prometheus.CounterOpts{
+		brokenAnswers: prometheus.NewCounter(prometheus.CounterOpts{
 			Namespace: namespace, Name: "answers_broken_total", Help: "Answers that a target broke off.",
 		}),
 		bytes: prometheus.NewCounter(prometheus.CounterOpts{
 			Namespace: namespace, Name: "answer_bytes_total", Help: "Bytes of answers relayed.",
 		}),
 	}
-	r.MustRegister(m.requests, m.duration, m.refused, m.failures, m.cut, m.bytes)
+	r.MustRegister(m.requests, m.duration, m.refused, m.failures, m.brokenAnswers, m.bytes)
 	return m
 }
 
-func (m *Metrics) retried(out result) {
+func (m *Metrics) countFailure(out result) {
 	kind := "broken"
 	if out.refusal != nil {
 		kind = out.refusal.Reason
@@ -58,8 +58,8 @@
 	m.failures.WithLabelValues(kind).Inc()
 }
 
-func (m *Metrics) broken()        { m.cut.Inc() }
-func (m *Metrics) copied(n int64) { m.bytes.Add(float64(n)) }
+func (m *Metrics) countBroken()       { m.brokenAnswers.Inc() }
+func (m *Metrics) countBytes(n int64) { m.bytes.Add(float64(n)) }
 
 // report writes the metrics and the log line of one request.
 func (f *Forwarder) report(j *job, r *http.Request, start time.Time, refusal *refuser.Refusal) {
@@ -76,7 +76,7 @@
 	}
 	f.Metrics.requests.WithLabelValues(service, class, strconv.Itoa(status)).Inc()
 	f.Metrics.duration.WithLabelValues(service, class).Observe(took.Seconds())
-	if f.decided.Add(1)%max(1, f.Sample) != 0 {
+	if f.reportCount.Add(1)%max(1, f.Sample) != 0 {
 		return
 	}
 	_ = level.Info(f.Logger).Log("msg", "routed", "service", service, "entry", name, "class", class,
--- a/entry/internal/forwarder/once.go
+++ b/entry/internal/forwarder/once.go
@@ -20,25 +20,25 @@
 )
 
 const (
-	// claimPatience bounds the wait for a claim; a leader is replaced within it.
-	claimPatience = 4 * time.Second
-	// settlePatience bounds the wait for the ledger before the caller gets the answer anyway.
-	settlePatience = 4 * time.Second
-	// backgroundPatience bounds the attempts to settle after the caller was answered.
-	backgroundPatience = time.Minute
-	headerReplayed     = "Idempotency-Replayed"
+	// claimTimeout bounds the wait for a claim; a leader is replaced within it.
+	claimTimeout = 4 * time.Second
+	// settleTimeout bounds the wait for the ledger before the caller gets the answer anyway.
+	settleTimeout = 4 * time.Second
+	// backgroundSettleTimeout bounds the attempts to settle after the caller was answered.
+	backgroundSettleTimeout = time.Minute
+	headerReplayed          = "Idempotency-Replayed"
 )
 
-// carryOnce runs a request that must not repeat: claimed first, sent once, settled before it is answered.
-func (f *Forwarder) carryOnce(w http.ResponseWriter, j *job, d *door) *refuser.Refusal {
+// forwardOnce runs a request that must not repeat: claimed first, sent once, settled before it is answered.
+func (f *Forwarder) forwardOnce(w http.ResponseWriter, j *job, d *admission) *refuser.Refusal {
 	claim := f.newClaim(j)
-	ctx, cancel := context.WithTimeout(j.ctx, claimPatience)
+	ctx, cancel := context.WithTimeout(j.ctx, claimTimeout)
 	granted, err := f.Ledger.Claim(ctx, claim)
 	cancel()
 	if err != nil {
 		// The claim may have been granted with its answer lost. Nothing was sent and nothing will be, so
 		// the request is certainly not run; the key is freed so that the caller's repeat can run.
-		go f.settle(backgroundPatience, &wire.Settle{Unrun: true}, claim)
+		go f.settle(backgroundSettleTimeout, &wire.Settle{Unrun: true}, claim)
 		return refuse(http.StatusServiceUnavailable, "ledger", "the ledger can't be reached", d.retryAt(time.Now(), j))
 	}
 	if granted.GetState() != wire.ClaimState_CLAIM_GRANTED {
@@ -47,10 +47,10 @@
 	out := f.attempts(j, d)
 	switch out.ending {
 	case retrier.Unrun:
-		go f.settle(backgroundPatience, &wire.Settle{Unrun: true}, claim)
+		go f.settle(backgroundSettleTimeout, &wire.Settle{Unrun: true}, claim)
 		return out.refusal
 	case retrier.Unknown:
-		go f.settle(backgroundPatience, &wire.Settle{Unknown: true}, claim)
+		go f.settle(backgroundSettleTimeout, &wire.Settle{Unknown: true}, claim)
 		return out.refusal
 	case retrier.Answered:
 	}
@@ -75,9 +75,9 @@
 	}
 }
 
-func (f *Forwarder) settle(patience time.Duration, s *wire.Settle, c *wire.Claim) {
+func (f *Forwarder) settle(timeout time.Duration, s *wire.Settle, c *wire.Claim) {
 	s.Scope, s.Key, s.Holder, s.Token = c.GetScope(), c.GetKey(), c.GetHolder(), c.GetToken()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	if err := f.Ledger.Settle(ctx, s); err != nil {
 		_ = level.Warn(f.Logger).Log("msg", "outcome not stored", "key", c.GetKey(), "err", err)
@@ -89,7 +89,7 @@
 func (f *Forwarder) settleAndRelay(w http.ResponseWriter, j *job, out result, c *wire.Claim) *refuser.Refusal {
 	head, err := io.ReadAll(io.LimitReader(out.response.Body, claimer.MaxBody+1))
 	if err != nil {
-		go f.settle(backgroundPatience, &wire.Settle{Unknown: true}, c)
+		go f.settle(backgroundSettleTimeout, &wire.Settle{Unknown: true}, c)
 		out.release()
 		return &refuser.Refusal{
 			Status:  http.StatusBadGateway,
@@ -99,10 +99,10 @@
 			Reason:  "broken",
 		}
 	}
-	outcome := &wire.Outcome{Status: int32(out.response.StatusCode), Header: storeHeader(out.response.Header)}
+	outcome := &wire.Outcome{Status: int32(out.response.StatusCode), Header: storedHeader(out.response.Header)}
 	outcome.Body = head[:min(len(head), claimer.MaxBody)]
 	outcome.Partial = len(head) > claimer.MaxBody
-	f.settle(settlePatience, &wire.Settle{Outcome: outcome}, c)
+	f.settle(settleTimeout, &wire.Settle{Outcome: outcome}, c)
 	rest := out.response.Body
 	out.response.Body = struct {
 		io.Reader
@@ -112,7 +112,7 @@
 	return nil
 }
 
-func storeHeader(h http.Header) []*wire.Field {
+func storedHeader(h http.Header) []*wire.Field {
 	kept := h.Clone()
 	messenger.RemoveHop(kept)
 	var out []*wire.Field
--- a/entry/internal/forwarder/pacer.go
+++ b/entry/internal/forwarder/pacer.go
@@ -8,10 +8,10 @@
 )
 
 const (
-	// chunk is how much is sent or received on one permission.
-	chunk = 16 << 10
-	// paceTick is how soon permission is asked for again.
-	paceTick = 5 * time.Millisecond
+	// chunkSize is how much is sent or received on one permission.
+	chunkSize = 16 << 10
+	// paceInterval is how soon permission is asked for again.
+	paceInterval = 5 * time.Millisecond
 	// bulkReserve is the room that uploads leave on a link, in chunks, for what is urgent.
 	bulkReserve = 4
 )
@@ -29,7 +29,7 @@
 func (c *pacedConn) Write(p []byte) (int, error) {
 	written := 0
 	for written < len(p) {
-		part := p[written:min(len(p), written+chunk)]
+		part := p[written:min(len(p), written+chunkSize)]
 		if err := c.await(c.out, int64(len(part))); err != nil {
 			return written, err
 		}
@@ -45,7 +45,7 @@
 // Read asks for permission after the bytes came: how many there are is not known before. The kernel's
 // buffers bound what a sender can be ahead of that.
 func (c *pacedConn) Read(p []byte) (int, error) {
-	n, err := c.Conn.Read(p[:min(len(p), chunk)])
+	n, err := c.Conn.Read(p[:min(len(p), chunkSize)])
 	if n > 0 {
 		if paceErr := c.await(c.in, int64(n)); paceErr != nil {
 			return n, paceErr
@@ -57,20 +57,20 @@
 // await blocks until the share allows n bytes. Only a share that stays empty for as long as any transfer
 // may stall ends it: the instance has lost its lease then.
 func (c *pacedConn) await(resource string, n int64) error {
-	limit := time.Now().Add(stall)
+	deadline := time.Now().Add(stallTimeout)
 	for {
 		now := time.Now()
 		c.holder.Demand(now, resource, n)
 		if c.allowed(now, resource, n) && c.holder.Take(now, resource, n) {
 			return nil
 		}
-		if now.After(limit) {
+		if now.After(deadline) {
 			return &PaceError{Resource: resource}
 		}
-		time.Sleep(paceTick)
+		time.Sleep(paceInterval)
 	}
 }
 
 func (c *pacedConn) allowed(now time.Time, resource string, n int64) bool {
-	return !c.bulk || c.holder.Room(now, resource) >= min(n+bulkReserve*chunk, c.holder.Limit(now, resource)/2)
+	return !c.bulk || c.holder.Room(now, resource) >= min(n+bulkReserve*chunkSize, c.holder.Limit(now, resource)/2)
 }
--- a/entry/internal/forwarder/pacer_test.go
+++ b/entry/internal/forwarder/pacer_test.go
@@ -15,21 +15,21 @@
 
 // An upload needs more than the link's share. It must slow down and arrive whole; cut off, the organiser
 // would have to start again, over and over.
-func TestUploadPastTheShareArrivesWhole(t *testing.T) {
+func TestUploadAboveTheShareCompletes(t *testing.T) {
 	is := is.New(t)
 	const share = 96 << 10
 	h := &granter.Holder{}
 	h.Watch(time.Now(), []string{"link:a:b", "link:b:a"})
 	sequence, _ := h.Request(time.Now())
 	is.True(h.Accept(time.Now(), sequence, time.Minute, []*wire.Grant{{Resource: "link:a:b", Share: share}}))
-	near, far := net.Pipe()
-	c := &pacedConn{Conn: near, holder: h, out: "link:a:b", in: "link:b:a", bulk: true}
+	local, remote := net.Pipe()
+	c := &pacedConn{Conn: local, holder: h, out: "link:a:b", in: "link:b:a", bulk: true}
 	sent := bytes.Repeat([]byte("photo"), share/4)
 	go func() {
 		_, _ = c.Write(sent)
 		_ = c.Close()
 	}()
-	got, err := io.ReadAll(far)
+	got, err := io.ReadAll(remote)
 	is.NoErr(err)
 	is.True(bytes.Equal(got, sent))
 	is.True(h.Room(time.Now(), "link:a:b") < share) // it went through the share
--- a/entry/internal/forwarder/ramps.go
+++ b/entry/internal/forwarder/ramps.go
@@ -51,7 +51,7 @@
 	return m
 }
 
-func (r *ramps) answered(region string, took time.Duration) {
+func (r *ramps) recordAnswer(region string, took time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	m := r.region(region)
@@ -60,7 +60,7 @@
 	m.smoothed += (took - m.smoothed) / smoothing
 }
 
-func (r *ramps) failed(region string) {
+func (r *ramps) recordFailure(region string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	m := r.region(region)
@@ -88,16 +88,16 @@
 			o = &ramp{}
 		}
 		o.Part, o.Stages = s.Part, s.Stages
-		there, here := r.region(s.To), r.region(s.From)
+		destination, source := r.region(s.To), r.region(s.From)
 		changed := o.Step(now, shifter.Measure{
-			At:       there.at,
-			Answers:  there.answers - o.answers,
-			Failures: there.failures - o.failures,
-			There:    there.smoothed,
-			Here:     here.smoothed,
+			At:       destination.at,
+			Answers:  destination.answers - o.answers,
+			Failures: destination.failures - o.failures,
+			There:    destination.smoothed,
+			Here:     source.smoothed,
 		})
 		if changed {
-			o.answers, o.failures = there.answers, there.failures
+			o.answers, o.failures = destination.answers, destination.failures
 			_ = level.Info(logger).Log("msg", "shift stage", "shift", s.Name, "stage", o.Stage(), "percent", o.Percent())
 		}
 		kept[s.Name] = o
--- a/entry/internal/forwarder/relay.go
+++ b/entry/internal/forwarder/relay.go
@@ -50,16 +50,16 @@
 	writeHead(w, j, out.response)
 	copied, err := copyBody(w, out.response)
 	if err != nil {
-		f.ramps.failed(out.target.Region)
-		f.Metrics.broken()
+		f.ramps.recordFailure(out.target.Region)
+		f.Metrics.countBroken()
 		j.decision = "broken"
 		// The status is already sent. Ending the connection without the closing chunk or the promised
 		// length is the only way to tell the caller that this is not the whole answer.
 		panic(http.ErrAbortHandler)
 	}
 	copyTrailer(w, out.response)
-	f.ramps.answered(out.target.Region, out.took)
-	f.Metrics.copied(copied)
+	f.ramps.recordAnswer(out.target.Region, out.took)
+	f.Metrics.countBytes(copied)
 }
 
 func writeHead(w http.ResponseWriter, j *job, response *http.Response) {
@@ -94,7 +94,7 @@
 	for {
 		n, err := response.Body.Read(*buffer)
 		if n > 0 {
-			_ = controller.SetWriteDeadline(time.Now().Add(stall))
+			_ = controller.SetWriteDeadline(time.Now().Add(stallTimeout))
 			if _, writeErr := w.Write((*buffer)[:n]); writeErr != nil {
 				return copied, writeErr
 			}
