--- a/entry/internal/forwarder/attempt.go
+++ b/entry/internal/forwarder/attempt.go
@@ -278,7 +278,7 @@
 		return
 	}
 	u.Fail(now)
-	f.ramps.recordFailure(u.Region)
+	f.ramps.addFailure(u.Region)
 	if out.ending != retrier.Unknown {
 		return
 	}
--- a/entry/internal/forwarder/ramps.go
+++ b/entry/internal/forwarder/ramps.go
@@ -51,7 +51,7 @@
 	return m
 }
 
-func (r *ramps) recordAnswer(region string, took time.Duration) {
+func (r *ramps) addAnswer(region string, took time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	m := r.region(region)
@@ -60,7 +60,7 @@
 	m.smoothed += (took - m.smoothed) / smoothing
 }
 
-func (r *ramps) recordFailure(region string) {
+func (r *ramps) addFailure(region string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	m := r.region(region)
--- a/entry/internal/forwarder/relay.go
+++ b/entry/internal/forwarder/relay.go
@@ -50,7 +50,7 @@
 	writeHead(w, j, out.response)
 	copied, err := copyBody(w, out.response)
 	if err != nil {
-		f.ramps.recordFailure(out.target.Region)
+		f.ramps.addFailure(out.target.Region)
 		f.Metrics.countBroken()
 		j.decision = "broken"
 		// The status is already sent. Ending the connection without the closing chunk or the promised
@@ -58,7 +58,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	copyTrailer(w, out.response)
-	f.ramps.recordAnswer(out.target.Region, out.took)
+	f.ramps.addAnswer(out.target.Region, out.took)
 	f.Metrics.countBytes(copied)
 }
 
