--- a/entry/internal/forwarder/admission.go
+++ b/entry/internal/forwarder/admission.go
@@ -12,26 +12,27 @@
 	"chervilrail.example/entry/internal/refuser"
 )
 
-// admission guards one service: its queue, its concurrency and its retry budget.
+// admission holds the admission state of one service: its queue, its concurrency limit and its retry budget.
 type admission struct {
 	mu     sync.Mutex
 	queue  admitter.Admitter
 	limit  tuner.Tuner
 	view   *directory.View
 	budget *retrier.Budget
-	// responseTime is the smoothed time to an responseTime's header.
+	// responseTime is the smoothed time to a response's header.
 	responseTime time.Duration
 }
 
 const (
-	// responseTimeoutFactor: no answer for this many times the usual is taken for a silent connection.
+	// responseTimeoutFactor is the number of usual response times without a response after which a connection is
+	// considered dead.
 	responseTimeoutFactor = 8
 	minResponseTimeout    = time.Second
 )
 
 func newAdmission() *admission { return &admission{budget: retrier.New()} }
 
-// applyView fits the concurrency to a new view.
+// applyView adapts the concurrency limit to a new view.
 func (d *admission) applyView(now time.Time, v *directory.View, service string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -51,7 +52,7 @@
 	}
 }
 
-// notifyAdmitted tells waiting requests that they are admitted.
+// notifyAdmitted informs waiting requests that they are admitted.
 func notifyAdmitted(tickets []*admitter.Ticket) {
 	for _, t := range tickets {
 		t.Decided <- admitter.Decision{Admitted: true}
@@ -84,7 +85,7 @@
 	}
 }
 
-// recordSuccess feeds the concurrency limit and the retry budget.
+// recordSuccess updates the response time, the concurrency limit and the retry budget.
 func (d *admission) recordSuccess(now time.Time, took time.Duration) {
 	d.budget.Succeed()
 	d.mu.Lock()
@@ -94,7 +95,7 @@
 	d.resize(now)
 }
 
-// recordShed notes that a target refused work for want of room.
+// recordShed lowers the concurrency limit because a target refused work for lack of capacity.
 func (d *admission) recordShed(now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -120,7 +121,8 @@
 	return int64(max(0, d.queue.Capacity()-d.queue.Running()-d.queue.Waiting()))
 }
 
-// admit waits for the request's turn.
+// admit waits until the request is admitted. It returns a refusal if the queue rejects the request or the caller
+// disconnects.
 func (f *Forwarder) admit(j *job, d *admission) (*admitter.Ticket, *refuser.Refusal) {
 	now := time.Now()
 	t := &admitter.Ticket{
--- a/entry/internal/forwarder/attempt.go
+++ b/entry/internal/forwarder/attempt.go
@@ -19,30 +19,30 @@
 )
 
 const (
-	// placeRetryInterval is how soon a place is looked for again while all targets are full.
+	// placeRetryInterval is the time between searches for a free slot while all targets are full.
 	placeRetryInterval = 2 * time.Millisecond
-	// placeTimeout bounds that search.
+	// placeTimeout bounds the whole search.
 	placeTimeout = time.Second
 )
 
-// result is how the attempts of a request ended: a response to relay, or a refusal.
+// result is the result of a request's attempts: a response to relay, or a refusal.
 type result struct {
 	response *http.Response
 	target   *balancer.Target
 	refusal  *refuser.Refusal
-	// release gives the slot back once the response is relayed.
+	// release returns the slot once the response is relayed.
 	release func()
 	ending  retrier.Ending
 	// took is the time to the response's header.
 	took time.Duration
-	// timedOut is set when the attempt was ended for want of any answer.
+	// timedOut is set when the attempt was cancelled because no response arrived within the response timeout.
 	timedOut bool
 }
 
-// attempts tries targets until one answers or there is no more reason to try.
+// attempts tries targets until one responds or no further attempt is allowed.
 func (f *Forwarder) attempts(j *job, d *admission) result {
 	var tried []*balancer.Target
-	// ending is the least certain of all attempts so far: once one may have run the request, no later
+	// ending is the least certain result of all attempts so far: once one attempt may have run the request, no later
 	// failure makes it certain again that it did not run.
 	ending := retrier.Unrun
 	for {
@@ -80,9 +80,10 @@
 	}
 }
 
-// responseTimeout is how long a first attempt may go without any answer; zero sets no limit. A kept connection
-// that something in between has forgotten swallows requests without an error, and a caller would wait
-// out its whole deadline although new connections work. What may repeat is then sent over another one.
+// responseTimeout returns how long a first attempt may wait for a response; zero means no limit. A device on the path
+// may have dropped its state of a kept-alive connection: requests sent on it get neither a response nor an error, and
+// the caller would wait until its deadline although new connections work. An idempotent request is then sent again over
+// another connection.
 func (f *Forwarder) responseTimeout(j *job, d *admission) time.Duration {
 	if j.tries > 1 || !j.idempotent() || !j.body.replayable() || j.entry.Class == cataloguer.Upload {
 		return 0
@@ -104,8 +105,8 @@
 		defer timer.Stop()
 	}
 	var sent atomic.Bool
-	// From the moment a connection is handed over, bytes may be on their way: what fails before is
-	// certainly not run, what fails after is unknown.
+	// Once a connection is obtained, bytes may have been sent: a request that fails before did certainly not run, the
+	// outcome of one that fails after is unknown.
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { sent.Store(true) },
 	})
@@ -135,14 +136,15 @@
 	return retrier.Unrun
 }
 
-// isShed reports a target's own word that it did not run the request.
+// isShed reports whether a target states in its response that it did not run the request.
 func isShed(r *http.Response) bool {
 	return r.StatusCode == http.StatusServiceUnavailable &&
 		r.Header.Get(refuser.HeaderOutcome) == string(refuser.NotRun)
 }
 
-// attemptContext lets a request that must not repeat go on when its caller leaves: cancelled halfway it
-// would end unknown, while its stored outcome answers the caller's repeat.
+// attemptContext returns the context of one attempt. A request that must not repeat continues when its caller
+// disconnects: if it were cancelled, its outcome would be unknown, whereas its stored outcome can answer the caller's
+// repeat.
 func (f *Forwarder) attemptContext(j *job) (context.Context, context.CancelFunc) {
 	ctx := j.ctx
 	if j.once() {
@@ -154,7 +156,8 @@
 	return context.WithDeadline(ctx, j.deadline)
 }
 
-// reserveTarget finds a target with a free slot, in a region whose cap has room.
+// reserveTarget reserves a slot at a target in a region whose cap has room. While all slots are taken, it searches again
+// until placeTimeout or the caller's deadline has passed.
 func (f *Forwarder) reserveTarget(j *job, d *admission, tried []*balancer.Target) (*balancer.Target, *refuser.Refusal) {
 	giveUpAt := time.Now().Add(placeTimeout)
 	if !j.deadline.IsZero() && j.deadline.Before(giveUpAt) {
@@ -169,7 +172,7 @@
 		if capped {
 			return nil, refuse(http.StatusServiceUnavailable, "cap", "the regions' limits are used up", now.Add(time.Second))
 		}
-		// A newer view may no longer have the service at all.
+		// The service may be missing from a newer view.
 		if pool := j.view.Pools[j.entry.Service]; pool == nil || len(pool.Regions()) == 0 {
 			return nil, refuse(http.StatusServiceUnavailable, "targets", "no target is ready", now.Add(time.Second))
 		}
@@ -183,7 +186,8 @@
 	}
 }
 
-// reserveInRegions looks through the regions in order; capped means that slots were free but no cap had room.
+// reserveInRegions tries the regions in order. The second result reports whether slots were free but no region's cap
+// had room.
 func (f *Forwarder) reserveInRegions(now time.Time, j *job, tried []*balancer.Target) (*balancer.Target, bool) {
 	pool := j.view.Pools[j.entry.Service]
 	if pool == nil {
@@ -208,9 +212,9 @@
 	return nil, capped
 }
 
-// takeLimits uses the limits of a request that goes from its home region to another. Everything that reaches a
-// shift's new region counts against the shift's cap, also what comes over because home is full: its cold
-// caches can't tell the two apart.
+// takeLimits takes one unit of each limit on requests from a home region to another region. Every request that reaches
+// a shift's new region from the old one counts against the shift's cap, including those sent there because the home
+// region is full: the load on the new region's cold caches is the same.
 func (f *Forwarder) takeLimits(now time.Time, j *job, home, region string) bool {
 	for _, s := range j.view.Catalogue.Shifts {
 		if s.Service == j.entry.Service && s.From == home && s.To == region {
@@ -227,8 +231,8 @@
 	return f.Holder.Take(now, resource, 1)
 }
 
-// orderRegions puts the regions in the orderRegions to try, a shift's new region before its old one for the part of
-// the requests that the shift has reached.
+// orderRegions returns the regions in the order to try. For the percentage of requests that a shift has reached, the
+// shift's new region comes first.
 func (f *Forwarder) orderRegions(j *job, regions []string) []string {
 	if len(regions) < 2 {
 		return regions
@@ -267,7 +271,7 @@
 	}
 	late := !j.deadline.IsZero() && !now.Before(j.deadline)
 	if out.timedOut || late {
-		// Connections of one age are often forgotten together.
+		// Connections of the same age often lose their state on the path at the same time.
 		f.connections.closeIdle(u)
 	}
 	if out.timedOut {
@@ -294,7 +298,7 @@
 	}
 }
 
-// qualify words a refusal for a request that an earlier attempt may have run.
+// qualify changes a refusal's outcome to unknown if an earlier attempt may have run the request.
 func qualify(refusal *refuser.Refusal, ending retrier.Ending) *refuser.Refusal {
 	if ending == retrier.Unknown {
 		refusal.Outcome = refuser.Unknown
@@ -303,7 +307,7 @@
 	return refusal
 }
 
-// finalRefusal words the final answer. Only what is certain counts as not run.
+// finalRefusal returns the answer after the last failed attempt. The outcome is not-run only if that is certain.
 func (f *Forwarder) finalRefusal(now time.Time, j *job, d *admission, ending retrier.Ending) *refuser.Refusal {
 	refusal := refuse(http.StatusServiceUnavailable, "failed", "the targets can't take the request", d.retryAt(now, j))
 	if ending == retrier.Unrun {
--- a/entry/internal/forwarder/body.go
+++ b/entry/internal/forwarder/body.go
@@ -10,24 +10,24 @@
 )
 
 const (
-	// readAheadSize is how much of a streamed body is read ahead for its fingerprint.
+	// readAheadSize is the number of bytes of a streamed body that are read ahead for its fingerprint.
 	readAheadSize = 4 << 10
-	// maxBufferedBody is the largest body that is kept whole, so that it can be sent again.
+	// maxBufferedBody is the largest body that is buffered completely, so that it can be sent again.
 	maxBufferedBody = 64 << 10
-	// maxOnceBody is the largest body of a request that must not repeat; it is read whole before the claim,
-	// so that a caller that breaks off never leaves half a booking.
+	// maxOnceBody is the largest body of a request that must not repeat. The body is read completely before the claim,
+	// so that a caller that disconnects midway never causes a truncated request to run.
 	maxOnceBody = 1 << 20
 	// stallTimeout is how long a transfer may make no progress.
 	stallTimeout = 30 * time.Second
 )
 
-// body is a request body, read ahead in part or whole.
+// body is a request body that is buffered completely or in part.
 type body struct {
 	ahead []byte
-	// rest is nil when ahead is the whole body.
+	// rest is nil if ahead is the whole body.
 	rest io.ReadCloser
 	size int64
-	// started is set once the rest has been read from: it can't be sent again then.
+	// started is set once the rest has been read from; the body can't be sent again then.
 	started atomic.Bool
 }
 
@@ -62,9 +62,9 @@
 // replayable reports whether the whole body can still be sent.
 func (b *body) replayable() bool { return b.rest == nil || !b.started.Load() }
 
-// open returns the body for one attempt. It has no GetBody, and is never http.NoBody: the HTTP client
-// would otherwise send a request again by itself when a kept connection breaks, because it carries an
-// Idempotency-Key, and a booking could run twice.
+// open returns the body for one attempt. It has no GetBody, and is never http.NoBody: otherwise the HTTP client would
+// resend a request with an Idempotency-Key on its own when a kept-alive connection breaks, and a request that must not
+// repeat could run twice.
 func (b *body) open() io.ReadCloser {
 	if b.rest == nil {
 		return io.NopCloser(bytes.NewReader(b.ahead))
@@ -85,13 +85,13 @@
 	return m.b.rest.Read(p)
 }
 
-// restReader does not close the caller's body when the HTTP client closes an attempt's.
+// restReader keeps the caller's body open when the HTTP client closes the body of an attempt.
 type restReader struct{ io.Reader }
 
 func (*restReader) Close() error { return nil }
 
-// stallReader gives every read a deadline of its own: a caller that stops sending is noticed, one that
-// is slow goes on for as long as it takes.
+// stallReader sets a new deadline for every read: a caller that stops sending is detected, a slow one may take as long
+// as it needs.
 type stallReader struct {
 	io.ReadCloser
 	controller *http.ResponseController
--- a/entry/internal/forwarder/connections.go
+++ b/entry/internal/forwarder/connections.go
@@ -19,22 +19,22 @@
 
 const (
 	dialTimeout = 2 * time.Second
-	// idleTimeout closes kept connections of requests that may repeat.
+	// idleTimeout closes idle connections of requests that may repeat.
 	idleTimeout = 90 * time.Second
-	// onceIdleTimeout is short: a connection that has been quiet for long may have been forgotten by
-	// something in between, and a booking sent into it would end unknown.
+	// onceIdleTimeout is short: a device on the path may have dropped its state of a connection that was idle for long,
+	// and the outcome of a request that must not repeat would be unknown if it were sent on it.
 	onceIdleTimeout = time.Second
-	// headerTimeout bounds the wait for an upload's answer after its last byte.
+	// headerTimeout bounds the wait for the response to an upload after its last byte.
 	headerTimeout     = 2 * time.Minute
 	keepAliveIdle     = 2 * time.Second
 	keepAliveInterval = time.Second
 	keepAliveCount    = 3
-	// unacknowledgedTimeout is how long sent bytes may stay unacknowledgedTimeout before the connection is given up.
+	// unacknowledgedTimeout is how long sent bytes may stay unacknowledged before the connection is closed.
 	unacknowledgedTimeout = 5 * time.Second
 	bufferSize            = 32 << 10
 )
 
-// connections holds the connections to targets.
+// connections holds the connections to all targets.
 type connections struct {
 	region string
 	holder *granter.Holder
@@ -43,7 +43,7 @@
 	byTarget map[*balancer.Target]*transports
 }
 
-// transports is one target's connections, apart by how they are used.
+// transports holds the connections to one target, separated by use.
 type transports struct {
 	plain *http.Transport
 	once  *http.Transport
@@ -109,8 +109,9 @@
 	return t
 }
 
-// setUserTimeout makes the kernel give a connection up when what was sent stays unacknowledged. Something
-// between the two ends may have lost track of it: requests would vanish in it for a quarter of an hour.
+// setUserTimeout makes the operating system close a connection whose sent bytes stay unacknowledged. A device on the
+// path may have dropped its state of the connection; without the limit, requests would be lost on it for a quarter of
+// an hour.
 func setUserTimeout(_, _ string, c syscall.RawConn) error {
 	var failure error
 	err := c.Control(func(fd uintptr) {
@@ -123,7 +124,7 @@
 	return failure
 }
 
-// sweep closes the connections to targets that are gone and have nothing outstanding.
+// sweep closes the connections to targets that have left the view and have no outstanding requests.
 func (l *connections) sweep(v *directory.View) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -143,7 +144,7 @@
 	}
 }
 
-// closeIdle drops the idle connections to a target, so that the next request opens a new one.
+// closeIdle closes the idle connections to a target, so that the next request opens a new one.
 func (l *connections) closeIdle(u *balancer.Target) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/entry/internal/forwarder/errors.go
+++ b/entry/internal/forwarder/errors.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// IncompleteStopError says that a stop ran out of time with requests still in progress.
+// IncompleteStopError reports that requests were still in progress when the time to stop ran out.
 type IncompleteStopError struct {
 	Running int64
 }
@@ -12,13 +12,13 @@
 	return fmt.Sprintf("stop forwarding: %d requests were still in progress", e.Running)
 }
 
-// StoppingError says that new requests are refused.
+// StoppingError reports that new requests are refused because the instance is stopping.
 type StoppingError struct{}
 
 // Error implements error.
 func (e *StoppingError) Error() string { return "new requests are refused before a stop" }
 
-// PaceError says that a link's share stayed empty for too long.
+// PaceError reports that the share of a link's bandwidth stayed used up for longer than a transfer may stall.
 type PaceError struct {
 	Resource string
 }
--- a/entry/internal/forwarder/forwarder.go
+++ b/entry/internal/forwarder/forwarder.go
@@ -1,4 +1,5 @@
-// Package forwarder carries callers' requests to targets: it admits, claims, places, sends and answers.
+// Package forwarder forwards callers' requests to targets: it admits and claims them, chooses a target, sends them and
+// relays the response.
 package forwarder
 
 import (
@@ -25,7 +26,7 @@
 	sweepInterval  = 30 * time.Second
 )
 
-// Views gives the newest view of the control state.
+// Views provides the current view of the control state.
 type Views interface {
 	View() *directory.View
 	Confirmed(now time.Time) bool
@@ -35,13 +36,13 @@
 	RequestHeartbeat()
 }
 
-// Ledger grants the right to run what must not repeat.
+// Ledger grants the right to run requests that must not repeat, and stores their outcome.
 type Ledger interface {
 	Claim(ctx context.Context, c *wire.Claim) (*wire.ClaimResult, error)
 	Settle(ctx context.Context, s *wire.Settle) error
 }
 
-// LossBroadcaster passes losses on to the other entry instances.
+// LossBroadcaster reports losses to the other entry instances.
 type LossBroadcaster interface {
 	BroadcastLoss(l *wire.Loss)
 }
@@ -57,7 +58,7 @@
 	Quarantine      *quarantiner.Quarantiner
 	Logger          log.Logger
 	Metrics         *Metrics
-	// Sample logs one in this many routing decisions.
+	// Sample is the sampling rate of the log: one in this many routing decisions is logged.
 	Sample int64
 
 	balancer    balancer.Balancer
@@ -75,7 +76,7 @@
 // Name implements kernel.Service.
 func (f *Forwarder) Name() string { return "forward" }
 
-// Start begins to keep the queues.
+// Start starts the maintenance of the queues. It always returns nil.
 func (f *Forwarder) Start(context.Context, kernel.Finder) error {
 	f.balancer.Random = rand.Uint64
 	f.admissions = map[string]*admission{}
@@ -88,7 +89,8 @@
 	return nil
 }
 
-// Stop waits for the requests in progress: a planned stop cuts nothing.
+// Stop refuses new requests and waits for those in progress, so that a planned stop interrupts none. It returns an
+// IncompleteStopError if requests are still in progress when ctx ends.
 func (f *Forwarder) Stop(ctx context.Context) error {
 	if f.cancel == nil {
 		return nil
@@ -117,13 +119,13 @@
 	return nil
 }
 
-// RefuseNew makes every new request a refusal, while those in progress go on.
+// RefuseNew refuses all new requests; those in progress continue.
 func (f *Forwarder) RefuseNew() { f.stopping.Store(true) }
 
 // Running returns how many requests are in progress.
 func (f *Forwarder) Running() int64 { return f.running.Load() }
 
-// maintenanceLoop refuses queued requests whose time is up, and tidies.
+// maintenanceLoop expires queued requests and removes outdated state at regular intervals, until ctx ends.
 func (f *Forwarder) maintenanceLoop(ctx context.Context) {
 	defer close(f.done)
 	ticker := time.NewTicker(expireInterval)
@@ -180,13 +182,13 @@
 	return d
 }
 
-// ServeHTTP carries one request. Every return before the last has written a final answer.
+// ServeHTTP forwards one request to a target and relays the response, or writes a refusal.
 func (f *Forwarder) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	f.running.Add(1)
 	defer f.running.Add(-1)
 	start := time.Now()
 	j, refusal := f.prepare(w, r, start)
-	// Deferred, because an answer that breaks off ends this call by a panic.
+	// Deferred, because relaying a response that breaks off ends in a panic.
 	defer func() { f.report(j, r, start, refusal) }()
 	if refusal == nil {
 		defer j.body.close()
--- a/entry/internal/forwarder/forwarder_test.go
+++ b/entry/internal/forwarder/forwarder_test.go
@@ -59,7 +59,7 @@
 body = 100000000
 `
 
-// fakeViews is a directory that always confirms.
+// fakeViews is a directory whose catalogue is always confirmed.
 type fakeViews struct{ view *directory.View }
 
 func (v *fakeViews) View() *directory.View           { return v.view }
@@ -69,7 +69,7 @@
 func (v *fakeViews) SetSpare(int64)                  {}
 func (v *fakeViews) BroadcastLoss(*wire.Loss)        {}
 
-// fakeLedger grants everything and counts.
+// fakeLedger grants every claim, unless it is unusable, and records what is settled.
 type fakeLedger struct {
 	mu       sync.Mutex
 	settled  []*wire.Settle
@@ -90,7 +90,7 @@
 	return nil
 }
 
-// testEntry is a forwarder over the given targets, served over HTTP.
+// testEntry is a forwarder for the given targets, served over HTTP.
 type testEntry struct {
 	*httptest.Server
 	forwarder *Forwarder
@@ -158,8 +158,8 @@
 	return http.Header{headerKey: {id.String()}}
 }
 
-// breakingTarget is a target that answers the first request of a connection, and reads the second one and
-// closes without a word. It counts the requests that it read.
+// breakingTarget is a target that answers the first request of a connection, then reads a second one and closes the
+// connection without an answer. It counts the requests that it has read.
 type breakingTarget struct {
 	net.Listener
 	reads atomic.Int32
@@ -201,8 +201,9 @@
 	}
 }
 
-// A target dies after it read a booking on a kept connection. The HTTP client would send the booking
-// again by itself, because its Idempotency-Key says that it may; the seat would be taken twice.
+// Guards against an HTTP client that resends a request which must not repeat. The target fails after it has read the
+// request on a kept-alive connection; the client considers it safe to resend because of its Idempotency-Key, and the
+// request could run twice.
 func TestClientDoesNotResendOnceRequests(t *testing.T) {
 	t.Run("naive", func(t *testing.T) {
 		is := is.New(t)
@@ -216,10 +217,10 @@
 				_ = response.Body.Close()
 			}
 		}
-		is.Equal(b.reads.Load(), int32(3)) // the second booking was read twice
+		is.Equal(b.reads.Load(), int32(3)) // the second request was read twice
 	})
 	for _, body := range []string{"seat", ""} {
-		t.Run("ours with body "+body, func(t *testing.T) {
+		t.Run("forwarder with body "+body, func(t *testing.T) {
 			is := is.New(t)
 			b := newBreakingTarget(t)
 			f := newTestEntry(t, b.Addr().String())
@@ -230,8 +231,8 @@
 	}
 }
 
-// The first attempt breaks off after it was sent, and no other target is left for a second. That nothing
-// is left to try does not mean that nothing ran, so the caller must not be told so.
+// Guards against a refusal that claims not-run although an earlier attempt may have run. The first attempt breaks off
+// after it was sent, and no other target is left for a second one.
 func TestUnknownOutcomeIsKeptWithoutAnotherTarget(t *testing.T) {
 	b := newBreakingTarget(t)
 	f := newTestEntry(t, b.Addr().String())
@@ -245,10 +246,10 @@
 	is.New(t).NoErr(err)
 	is.New(t).NoErr(closed.Close())
 	f := newTestEntry(t, closed.Addr().String())
-	t.Run("nobody listens", func(t *testing.T) {
+	t.Run("no listener", func(t *testing.T) {
 		assertOutcome(t, f.send(t, http.MethodGet, "/", "", nil), http.StatusServiceUnavailable, refuser.NotRun)
 	})
-	t.Run("a booking frees its key", func(t *testing.T) {
+	t.Run("the key is released", func(t *testing.T) {
 		assertOutcome(t, f.send(t, http.MethodPost, "/rsvp", "x", key(t)), http.StatusServiceUnavailable, refuser.NotRun)
 		for range 100 {
 			f.ledger.mu.Lock()
@@ -297,7 +298,8 @@
 	})
 }
 
-// A caller breaks off in the middle of sending a booking. Half a body must never reach a target.
+// Guards against a truncated body that reaches a target, when a caller disconnects while it sends a request that must
+// not repeat.
 func TestTruncatedBodyIsNotRun(t *testing.T) {
 	is := is.New(t)
 	var runs atomic.Int32
@@ -316,8 +318,8 @@
 	is.Equal(runs.Load(), int32(0))
 }
 
-// Many callers send at once and targets answer late and out of order. Everyone must get the whole answer
-// to the request that they sent.
+// Guards against answers that are mixed up or truncated. Many callers send at once, and targets answer late and out of
+// order.
 func TestAnswersReachTheirCallers(t *testing.T) {
 	target := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
@@ -366,8 +368,8 @@
 	is.Equal(r.Header.Get("X-Public"), "yes")
 }
 
-// A change takes a service out of the catalogue while a request of it waits for a slot. The caller must get
-// a refusal that says nothing was run, not a connection that breaks.
+// Guards against a broken connection when a change removes a service from the catalogue while one of its requests waits
+// for a slot. The caller must get a refusal with the outcome not-run.
 func TestServiceRemovedWhileARequestWaits(t *testing.T) {
 	is := is.New(t)
 	f := newTestEntry(t, "127.0.0.1:1")
--- a/entry/internal/forwarder/job.go
+++ b/entry/internal/forwarder/job.go
@@ -23,7 +23,7 @@
 	maxKeyLength = 64
 )
 
-// job is one caller's request on its way.
+// job is one caller's request in progress.
 type job struct {
 	ctx         context.Context
 	request     *http.Request
@@ -33,7 +33,7 @@
 	fingerprint quarantiner.Fingerprint
 	body        *body
 	key         uuid.UUID
-	// target and tries are for the log line.
+	// target and the fields below it are reported in the log and the metrics.
 	target   string
 	region   string
 	tries    int
@@ -51,15 +51,15 @@
 	return false
 }
 
-// prepare checks a request and reads as much of it as the decisions need.
+// prepare checks a request, and reads as much of it as the routing decisions need.
 func (f *Forwarder) prepare(w http.ResponseWriter, r *http.Request, now time.Time) (*job, *refuser.Refusal) {
 	j := &job{request: r, view: f.Views.View(), ctx: r.Context()}
 	if f.stopping.Load() {
 		w.Header().Set("Connection", "close")
 		return j, refuse(http.StatusServiceUnavailable, "stopping", "this instance is stopping", now.Add(time.Second))
 	}
-	// A catalogue that nobody confirms may have been replaced. Acting on it would break the promise that
-	// an accepted change is in force everywhere, so the caller is sent elsewhere.
+	// An unconfirmed catalogue may have been replaced. Using it would break the guarantee that an accepted change is in
+	// force on every instance, so the caller is refused.
 	if j.view == nil || !f.Views.Confirmed(now) {
 		return j, refuse(http.StatusServiceUnavailable, "lapsed", "the catalogue is not confirmed", f.Views.RetryAt(now))
 	}
@@ -119,8 +119,8 @@
 	return label
 }
 
-// readDeadline takes the caller's deadline, or the catalogue's. An upload without a deadline of its own
-// is bounded by progress alone.
+// readDeadline sets the caller's deadline, or else the catalogue's timeout. An upload without a deadline of its own is
+// limited only by stallTimeout.
 func (j *job) readDeadline(now time.Time) *refuser.Refusal {
 	if text := j.request.Header.Get(refuser.HeaderDeadline); text != "" {
 		deadline, err := time.Parse(time.RFC3339Nano, text)
@@ -139,8 +139,8 @@
 	return nil
 }
 
-// readKey wants a key that carries its own issue time: the ledger forgets old claims, and must be able
-// to tell a forgotten key from a new one.
+// readKey requires a key that contains its issue time: the ledger removes old claims, and must be able to distinguish a
+// removed key from a new one.
 func (j *job) readKey() *refuser.Refusal {
 	if !j.once() {
 		return nil
@@ -170,7 +170,8 @@
 	return nil
 }
 
-// fingerprint covers what a target would run: the same crash comes from the same request.
+// fingerprint covers everything that determines what a target would run, so that requests that cause the same crash
+// have the same fingerprint.
 func fingerprint(j *job) quarantiner.Fingerprint {
 	var out quarantiner.Fingerprint
 	first := digest(j, 0)
@@ -194,7 +195,7 @@
 	return d.Sum64()
 }
 
-// checkLimits refuses what is known to crash targets, and what is past the entry's rate.
+// checkLimits refuses requests that are known to crash targets, and requests above the entry's rate.
 func (f *Forwarder) checkLimits(now time.Time, j *job) *refuser.Refusal {
 	if until := f.Quarantine.Refused(now, j.fingerprint); !until.IsZero() {
 		return refuse(http.StatusServiceUnavailable, "quarantine",
--- a/entry/internal/forwarder/metrics.go
+++ b/entry/internal/forwarder/metrics.go
@@ -23,7 +23,7 @@
 	bytes         prometheus.Counter
 }
 
-// NewMetrics registers the metrics.
+// NewMetrics creates and registers the metrics.
 func NewMetrics(r prometheus.Registerer) *Metrics {
 	m := &Metrics{
 		requests: prometheus.NewCounterVec(prometheus.CounterOpts{
@@ -61,7 +61,7 @@
 func (m *Metrics) countBroken()       { m.brokenAnswers.Inc() }
 func (m *Metrics) countBytes(n int64) { m.bytes.Add(float64(n)) }
 
-// report writes the metrics and the log line of one request.
+// report records the metrics of one request, and logs it if it is sampled.
 func (f *Forwarder) report(j *job, r *http.Request, start time.Time, refusal *refuser.Refusal) {
 	took := time.Since(start)
 	service, class, name := "", "", ""
--- a/entry/internal/forwarder/once.go
+++ b/entry/internal/forwarder/once.go
@@ -20,24 +20,24 @@
 )
 
 const (
-	// claimTimeout bounds the wait for a claim; a leader is replaced within it.
+	// claimTimeout bounds the wait for a claim; it is long enough for the controllers to elect a new leader.
 	claimTimeout = 4 * time.Second
-	// settleTimeout bounds the wait for the ledger before the caller gets the answer anyway.
+	// settleTimeout bounds the wait for the ledger; the caller gets the answer after it in any case.
 	settleTimeout = 4 * time.Second
-	// backgroundSettleTimeout bounds the attempts to settle after the caller was answered.
+	// backgroundSettleTimeout bounds the attempts to settle that the caller does not wait for.
 	backgroundSettleTimeout = time.Minute
 	headerReplayed          = "Idempotency-Replayed"
 )
 
-// forwardOnce runs a request that must not repeat: claimed first, sent once, settled before it is answered.
+// forwardOnce runs a request that must not repeat: it is claimed before it is sent, and settled before it is answered.
 func (f *Forwarder) forwardOnce(w http.ResponseWriter, j *job, d *admission) *refuser.Refusal {
 	claim := f.newClaim(j)
 	ctx, cancel := context.WithTimeout(j.ctx, claimTimeout)
 	granted, err := f.Ledger.Claim(ctx, claim)
 	cancel()
 	if err != nil {
-		// The claim may have been granted with its answer lost. Nothing was sent and nothing will be, so
-		// the request is certainly not run; the key is freed so that the caller's repeat can run.
+		// The claim may have been granted and its answer lost. Nothing was sent and nothing will be, so the request
+		// certainly did not run. The key is released so that the caller's repeat can run.
 		go f.settle(backgroundSettleTimeout, &wire.Settle{Unrun: true}, claim)
 		return refuse(http.StatusServiceUnavailable, "ledger", "the ledger can't be reached", d.retryAt(time.Now(), j))
 	}
@@ -84,8 +84,9 @@
 	}
 }
 
-// settleAndRelay stores the outcome and then answers, so that a repeat finds it whatever happens to this
-// instance. When the ledger is out of reach the caller still gets the answer; a repeat then gets unknown.
+// settleAndRelay stores the outcome before it relays the response, so that a repeat finds the outcome even if this
+// instance fails. If the ledger can't be reached, the caller still gets the response, and a repeat gets the outcome
+// unknown.
 func (f *Forwarder) settleAndRelay(w http.ResponseWriter, j *job, out result, c *wire.Claim) *refuser.Refusal {
 	head, err := io.ReadAll(io.LimitReader(out.response.Body, claimer.MaxBody+1))
 	if err != nil {
@@ -125,7 +126,8 @@
 	return out
 }
 
-// answerRepeat answers a request whose key was claimed before. It is never run again.
+// answerRepeat answers a request whose claim was not granted, mostly because its key was claimed before. The request is
+// not run again.
 func (f *Forwarder) answerRepeat(w http.ResponseWriter, j *job, c *wire.ClaimResult) *refuser.Refusal {
 	now := time.Now()
 	unknown := func(status int, reason, detail string, retry time.Time) *refuser.Refusal {
@@ -151,8 +153,8 @@
 	return unknown(http.StatusConflict, "unknown", "the first request with this key may have run", time.Time{})
 }
 
-// replay sends the stored outcome. An answer that was too large to store whole is named as such: half of
-// it must not look like all of it.
+// replay sends the stored outcome. A response that was too large to store completely is refused, because a caller could
+// take the stored part for the whole.
 func (f *Forwarder) replay(w http.ResponseWriter, j *job, o *wire.Outcome) *refuser.Refusal {
 	if o.GetPartial() {
 		return &refuser.Refusal{
--- a/entry/internal/forwarder/pacer.go
+++ b/entry/internal/forwarder/pacer.go
@@ -8,16 +8,16 @@
 )
 
 const (
-	// chunkSize is how much is sent or received on one permission.
+	// chunkSize is the number of bytes that are sent or received at once, after each check of the share.
 	chunkSize = 16 << 10
-	// paceInterval is how soon permission is asked for again.
+	// paceInterval is the time between checks of a share that is used up.
 	paceInterval = 5 * time.Millisecond
-	// bulkReserve is the room that uploads leave on a link, in chunks, for what is urgent.
+	// bulkReserve is the capacity, in chunks, that uploads leave free on a link for more urgent requests.
 	bulkReserve = 4
 )
 
-// pacedConn keeps a connection between regions within this instance's share of the link. A transfer that
-// is past the share slows down; it does not fail.
+// pacedConn keeps the traffic of a connection between regions within this instance's share of the link. A transfer that
+// exceeds the share slows down; it does not fail.
 type pacedConn struct {
 	net.Conn
 	holder *granter.Holder
@@ -42,8 +42,8 @@
 	return written, nil
 }
 
-// Read asks for permission after the bytes came: how many there are is not known before. The kernel's
-// buffers bound what a sender can be ahead of that.
+// Read takes the bytes from the share after they have arrived, because their number is not known before. The receive
+// buffers of the operating system bound how far a sender can get ahead.
 func (c *pacedConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p[:min(len(p), chunkSize)])
 	if n > 0 {
@@ -54,8 +54,8 @@
 	return n, err
 }
 
-// await blocks until the share allows n bytes. Only a share that stays empty for as long as any transfer
-// may stall ends it: the instance has lost its lease then.
+// await blocks until the share allows n bytes. It fails only if the share stays used up for stallTimeout, which means
+// that the instance has lost its lease.
 func (c *pacedConn) await(resource string, n int64) error {
 	deadline := time.Now().Add(stallTimeout)
 	for {
--- a/entry/internal/forwarder/pacer_test.go
+++ b/entry/internal/forwarder/pacer_test.go
@@ -13,8 +13,8 @@
 	"chervilrail.example/core/wire"
 )
 
-// An upload needs more than the link's share. It must slow down and arrive whole; cut off, the organiser
-// would have to start again, over and over.
+// Guards against uploads that are interrupted because they exceed the link's share. They must slow down and complete;
+// an interrupted upload would have to start again each time.
 func TestUploadAboveTheShareCompletes(t *testing.T) {
 	is := is.New(t)
 	const share = 96 << 10
@@ -32,5 +32,5 @@
 	got, err := io.ReadAll(remote)
 	is.NoErr(err)
 	is.True(bytes.Equal(got, sent))
-	is.True(h.Room(time.Now(), "link:a:b") < share) // it went through the share
+	is.True(h.Room(time.Now(), "link:a:b") < share) // the bytes were taken from the share
 }
--- a/entry/internal/forwarder/ramps.go
+++ b/entry/internal/forwarder/ramps.go
@@ -14,11 +14,11 @@
 
 const (
 	percent = 100
-	// smoothing is the weight of the newest answer time: an eighth.
+	// smoothing gives the newest response time a weight of one eighth.
 	smoothing = 8
 )
 
-// ramps keeps the stage of every shift and the measures of every region.
+// ramps holds the stage of every shift and the measurements of every region.
 type ramps struct {
 	mu      sync.Mutex
 	byName  map[string]*ramp
@@ -27,7 +27,7 @@
 
 type ramp struct {
 	shifter.Ramp
-	// answers and failures are the new region's counts when the stage began.
+	// answers and failures are the new region's counts at the start of the stage.
 	answers  int64
 	failures int64
 }
@@ -69,7 +69,7 @@
 	m.failures++
 }
 
-// chosen decides by chance whether a request belongs to the part that a shift has reached.
+// chosen decides at random whether a request belongs to the percentage that a shift has reached.
 func (r *ramps) chosen(name string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -77,7 +77,7 @@
 	return ok && rand.Int64N(percent) < o.Percent()
 }
 
-// step moves every shift's stage by the newest measure.
+// step updates the stage of every shift from the newest measurements.
 func (r *ramps) step(now time.Time, shifts []cataloguer.Shift, logger log.Logger) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/entry/internal/forwarder/relay.go
+++ b/entry/internal/forwarder/relay.go
@@ -18,7 +18,7 @@
 
 var buffers = sync.Pool{New: func() any { b := make([]byte, bufferSize); return &b }}
 
-// outgoing makes the request for one target.
+// outgoing returns the request to send to one target.
 func (f *Forwarder) outgoing(ctx context.Context, j *job, u *balancer.Target) *http.Request {
 	out := j.request.Clone(ctx)
 	out.RequestURI = ""
@@ -38,13 +38,14 @@
 		out.Header.Set(headerForwarded, strings.Join(chain, ", "))
 	}
 	if _, ok := out.Header["User-Agent"]; !ok {
-		// An absent header would be filled in by the client.
+		// The HTTP client would fill in an absent header.
 		out.Header["User-Agent"] = []string{""}
 	}
 	return out
 }
 
-// relay copies a target's answer to the caller.
+// relay copies a target's response to the caller and releases the target's slot. It panics with http.ErrAbortHandler if
+// the response breaks off.
 func (f *Forwarder) relay(w http.ResponseWriter, j *job, out result) {
 	defer out.release()
 	writeHead(w, j, out.response)
@@ -53,8 +54,8 @@
 		f.ramps.addFailure(out.target.Region)
 		f.Metrics.countBroken()
 		j.decision = "broken"
-		// The status is already sent. Ending the connection without the closing chunk or the promised
-		// length is the only way to tell the caller that this is not the whole answer.
+		// The status is already sent. Closing the connection without the final chunk or the announced length is the
+		// only way to tell the caller that the response is incomplete.
 		panic(http.ErrAbortHandler)
 	}
 	copyTrailer(w, out.response)
@@ -81,7 +82,8 @@
 	}
 }
 
-// copyBody passes each part on as it comes when the length is open, so that a stream stays a stream.
+// copyBody flushes each part as it arrives if the length is unknown, so that the caller receives a stream without
+// delay.
 func copyBody(w http.ResponseWriter, response *http.Response) (int64, error) {
 	buffer, ok := buffers.Get().(*[]byte)
 	if !ok {
