--- a/entry/internal/broadcaster/broadcaster.go
+++ b/entry/internal/broadcaster/broadcaster.go
@@ -22,17 +22,17 @@
 )
 
 const (
-	// gather is how long news wait for company.
-	gather      = 25 * time.Millisecond
+	// batchDelay is how long news wait for company.
+	batchDelay  = 25 * time.Millisecond
 	callTimeout = time.Second
-	// exchangeEvery is how often the whole register is compared with one other instance, so that what
+	// exchangeInterval is how often the whole register is compared with one other instance, so that what
 	// was lost on the way still arrives.
-	exchangeEvery = 2 * time.Second
-	// lookEvery is how soon a new instance is greeted.
-	lookEvery = 200 * time.Millisecond
-	// compressFrom is the smallest message worth the time of compressing it.
-	compressFrom = 4 << 10
-	maxBytes     = 32 << 20
+	exchangeInterval = 2 * time.Second
+	// checkInterval is how soon a new instance is greeted.
+	checkInterval = 200 * time.Millisecond
+	// minCompressedBytes is the smallest message worth the time of compressing it.
+	minCompressedBytes = 4 << 10
+	maxMessageBytes    = 32 << 20
 )
 
 // Register is where announcements are kept.
@@ -57,8 +57,8 @@
 	client  *http.Client
 	cancel  context.CancelFunc
 	group   sync.WaitGroup
-	// greeted holds the instances whose whole register was taken since this one started.
-	greeted map[string]bool
+	// exchanged holds the instances whose whole register was taken since this one started.
+	exchanged map[string]bool
 }
 
 // Name implements kernel.Service.
@@ -72,12 +72,12 @@
 	}
 	s.client = client
 	s.records = map[string]*wire.Record{}
-	s.greeted = map[string]bool{}
+	s.exchanged = map[string]bool{}
 	s.wake = make(chan struct{}, 1)
 	ctx, cancel := context.WithCancel(context.Background())
 	s.cancel = cancel
-	s.group.Go(func() { s.spread(ctx) })
-	s.group.Go(func() { s.compare(ctx) })
+	s.group.Go(func() { s.broadcastLoop(ctx) })
+	s.group.Go(func() { s.exchangeLoop(ctx) })
 	return nil
 }
 
@@ -119,7 +119,7 @@
 	}
 }
 
-func (s *Broadcaster) spread(ctx context.Context) {
+func (s *Broadcaster) broadcastLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -129,13 +129,13 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(gather):
+		case <-time.After(batchDelay):
 		}
-		s.sendAll(ctx, s.take())
+		s.sendAll(ctx, s.takePending())
 	}
 }
 
-func (s *Broadcaster) take() *wire.ShareRequest {
+func (s *Broadcaster) takePending() *wire.ShareRequest {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := &wire.ShareRequest{Losses: s.losses}
@@ -181,26 +181,26 @@
 	return response.Msg, nil
 }
 
-func (s *Broadcaster) compare(ctx context.Context) {
+func (s *Broadcaster) exchangeLoop(ctx context.Context) {
 	next := time.Now()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(lookEvery):
+		case <-time.After(checkInterval):
 		}
-		if name, address, ok := s.partner(time.Now().After(next)); ok {
+		if name, address, ok := s.pickPeer(time.Now().After(next)); ok {
 			s.exchange(ctx, name, address)
-			next = time.Now().Add(exchangeEvery)
+			next = time.Now().Add(exchangeInterval)
 		}
 	}
 }
 
-// partner picks an instance not yet greeted, or when the time has come any other.
-func (s *Broadcaster) partner(due bool) (string, netip.AddrPort, bool) {
+// pickPeer picks an instance not yet greeted, or when the time has come any other.
+func (s *Broadcaster) pickPeer(due bool) (string, netip.AddrPort, bool) {
 	peers := s.peers()
 	for name, address := range peers {
-		if !s.greeted[name] {
+		if !s.exchanged[name] {
 			return name, address, true
 		}
 	}
@@ -218,7 +218,7 @@
 }
 
 func (s *Broadcaster) exchange(ctx context.Context, name string, address netip.AddrPort) {
-	s.greeted[name] = true
+	s.exchanged[name] = true
 	records, err := s.Register.Records(ctx)
 	if err != nil {
 		return
@@ -235,7 +235,7 @@
 func (s *Broadcaster) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle(wireconnect.NewPeersHandler(s,
-		connect.WithReadMaxBytes(maxBytes), connect.WithCompressMinBytes(compressFrom)))
+		connect.WithReadMaxBytes(maxMessageBytes), connect.WithCompressMinBytes(minCompressedBytes)))
 	return mux
 }
 
@@ -245,7 +245,7 @@
 ) (*connect.Response[wire.ShareResponse], error) {
 	now := time.Now()
 	for _, l := range r.Msg.GetLosses() {
-		s.judge(now, l)
+		s.applyLoss(now, l)
 	}
 	if err := s.Register.Merge(ctx, r.Msg.GetRecords()); err != nil {
 		return nil, connect.NewError(connect.CodeUnavailable, err)
@@ -261,7 +261,7 @@
 	return connect.NewResponse(response), nil
 }
 
-func (s *Broadcaster) judge(now time.Time, l *wire.Loss) {
+func (s *Broadcaster) applyLoss(now time.Time, l *wire.Loss) {
 	var f quarantiner.Fingerprint
 	if copy(f[:], l.GetFingerprint()) != len(f) {
 		return
--- a/entry/internal/locator/locator.go
+++ b/entry/internal/locator/locator.go
@@ -30,8 +30,8 @@
 	spendTimeout = 350 * time.Millisecond
 	// MaxSpendWait is how long a request of another instance waits for a part of a quota; it comes again then.
 	MaxSpendWait = 150 * time.Millisecond
-	// shun is how long an instance that did not answer is not asked again. Each question to it holds up a request.
-	shun = time.Second
+	// exclusionTime is how long an instance that did not answer is not asked again. Each question to it holds up a request.
+	exclusionTime = time.Second
 )
 
 // Peer is an entry instance of the same region.
@@ -60,8 +60,8 @@
 
 	client *http.Client
 
-	mu      sync.Mutex
-	shunned map[string]time.Time
+	mu            sync.Mutex
+	excludedUntil map[string]time.Time
 }
 
 // Name implements kernel.Service.
@@ -77,7 +77,7 @@
 		return err
 	}
 	l.client = client
-	l.shunned = map[string]time.Time{}
+	l.excludedUntil = map[string]time.Time{}
 	return nil
 }
 
@@ -103,7 +103,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, p := range peers {
-		if p.Name != l.Self && now.Before(l.shunned[p.Name]) {
+		if p.Name != l.Self && now.Before(l.excludedUntil[p.Name]) {
 			continue
 		}
 		if w := dealer.Weight(key, p.Name); w > most {
@@ -129,17 +129,17 @@
 		if ctx.Err() != nil {
 			return placer.Place{}
 		}
-		l.leaveOut(now, owner, err)
+		l.exclude(now, owner, err)
 	}
 	return l.Assigner.Assign(time.Now(), service, ask)
 }
 
-func (l *Locator) leaveOut(now time.Time, owner Peer, err error) {
+func (l *Locator) exclude(now time.Time, owner Peer, err error) {
 	l.mu.Lock()
-	known := time.Now().Before(l.shunned[owner.Name])
-	l.shunned[owner.Name] = now.Add(shun)
+	excluded := time.Now().Before(l.excludedUntil[owner.Name])
+	l.excludedUntil[owner.Name] = now.Add(exclusionTime)
 	l.mu.Unlock()
-	if known {
+	if excluded {
 		return
 	}
 	_ = level.Info(l.Logger).Log("msg", "entry instance does not answer", "peer", owner.Name, "address", owner.Address,
@@ -188,7 +188,7 @@
 		return response.Msg, nil
 	}
 	if ctx.Err() == nil {
-		l.leaveOut(now, owner, err)
+		l.exclude(now, owner, err)
 	}
 	return nil, err
 }
--- a/entry/internal/locator/locator_test.go
+++ b/entry/internal/locator/locator_test.go
@@ -20,22 +20,22 @@
 	"chervilrail.example/core/wire"
 )
 
-// book is what one instance would answer; it remembers what it was asked.
-type book struct {
+// fakeAssigner is what one instance would answer; it remembers what it was asked.
+type fakeAssigner struct {
 	mu     sync.Mutex
 	target string
 	warmAt time.Time
 	asked  []placer.Ask
 }
 
-func (b *book) Assign(_ time.Time, _ string, ask placer.Ask) placer.Place {
+func (b *fakeAssigner) Assign(_ time.Time, _ string, ask placer.Ask) placer.Place {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.asked = append(b.asked, ask)
 	return placer.Place{Target: b.target, WarmAt: b.warmAt}
 }
 
-func begin(t *testing.T, name string, b *book) *Locator {
+func startLocator(t *testing.T, name string, b *fakeAssigner) *Locator {
 	t.Helper()
 	l := &Locator{Self: name, Dialer: &dialer.Dialer{Plain: true}, Assigner: b, Logger: log.NewNopLogger()}
 	is.New(t).NoErr(l.Start(context.Background(), nil))
@@ -63,8 +63,8 @@
 // targets, and the object runs cold at both.
 func TestInstancesAgree(t *testing.T) {
 	is := is.New(t)
-	one, two := &book{target: "t1"}, &book{target: "t2", warmAt: time.Now().Add(time.Minute)}
-	a, b := begin(t, "a", one), begin(t, "b", two)
+	one, two := &fakeAssigner{target: "t1"}, &fakeAssigner{target: "t2", warmAt: time.Now().Add(time.Minute)}
+	a, b := startLocator(t, "a", one), startLocator(t, "b", two)
 	peers := []Peer{{"a", serve(t, a.Handler())}, {"b", serve(t, b.Handler())}}
 	for _, owner := range []string{"a", "b"} {
 		ask := placer.Ask{Object: objectOf(a, peers, owner), Route: "r", Hint: "h", Cold: time.Second, Regions: []string{"x"}}
@@ -80,28 +80,28 @@
 
 // The instance that answers for an object hangs. Each request for the object would wait for it, second after second; it is
 // left out after the first, and another one answers.
-func TestSilentInstanceIsLeftOut(t *testing.T) {
+func TestUnresponsiveInstanceIsExcluded(t *testing.T) {
 	is := is.New(t)
 	release := make(chan struct{})
-	hangs := http.HandlerFunc(func(http.ResponseWriter, *http.Request) { <-release })
-	b := &book{target: "t1"}
-	l := begin(t, "a", b)
-	peers := []Peer{{"a", netip.AddrPort{}}, {"silent", serve(t, hangs)}}
+	hanging := http.HandlerFunc(func(http.ResponseWriter, *http.Request) { <-release })
+	b := &fakeAssigner{target: "t1"}
+	l := startLocator(t, "a", b)
+	peers := []Peer{{"a", netip.AddrPort{}}, {"silent", serve(t, hanging)}}
 	t.Cleanup(func() { close(release) })
 	object := objectOf(l, peers, "silent")
 	start := time.Now()
 	for range 20 {
 		is.Equal(l.Locate(t.Context(), peers, "s", placer.Ask{Object: object, Hint: "t9"}).Target, "t1")
 	}
-	is.True(time.Since(start) < shun)
+	is.True(time.Since(start) < exclusionTime)
 	is.Equal(b.asked[0].Hint, "t9")
 	is.True(l.Owns(peers, placer.ObjectOf(object)))
 }
 
 // Instances hear of another one before it serves its peers, or have no address of it. The request must not fail for it.
-func TestUnreachableInstanceIsLeftOut(t *testing.T) {
+func TestUnreachableInstanceIsExcluded(t *testing.T) {
 	is := is.New(t)
-	l := begin(t, "a", &book{target: "t1"})
+	l := startLocator(t, "a", &fakeAssigner{target: "t1"})
 	peers := []Peer{{"a", netip.AddrPort{}}, {"closed", netip.MustParseAddrPort("127.0.0.1:1")}}
 	object := objectOf(l, peers, "closed")
 	is.Equal(l.Locate(t.Context(), peers, "s", placer.Ask{Object: object}).Target, "t1")
@@ -111,33 +111,33 @@
 }
 
 // Guards against an instance that is left out, and its parts of quotas with it, for the caller of a question has left.
-func TestCallersThatLeaveSayNothingOfTheInstanceAsked(t *testing.T) {
-	for name, leaves := range map[string]bool{"leaves": true, "stays": false} {
+func TestCancelledCallDoesNotExcludeTheInstance(t *testing.T) {
+	for name, cancelled := range map[string]bool{"leaves": true, "stays": false} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			release := make(chan struct{})
 			hangs := http.HandlerFunc(func(http.ResponseWriter, *http.Request) { <-release })
-			l := begin(t, "a", &book{})
+			l := startLocator(t, "a", &fakeAssigner{})
 			peers := []Peer{{"a", netip.AddrPort{}}, {"slow", serve(t, hangs)}}
 			t.Cleanup(func() { close(release) })
 			object := placer.ObjectOf(objectOf(l, peers, "slow"))
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
-			if leaves {
+			if cancelled {
 				time.AfterFunc(spendTimeout/4, cancel)
 			}
 			_, err := l.Ask(ctx, peers[1], &wire.SpendRequest{})
 			is.True(err != nil)
-			is.Equal(l.Owner(peers, object).Name == "slow", leaves)
+			is.Equal(l.Owner(peers, object).Name == "slow", cancelled)
 		})
 	}
 }
 
 // Guards against thousands of lines in the second after an instance has died: one tells that it does not answer.
-func TestAnInstanceThatDoesNotAnswerIsToldOnce(t *testing.T) {
+func TestUnresponsiveInstanceIsLoggedOnce(t *testing.T) {
 	is := is.New(t)
 	var lines atomic.Int32
-	l := begin(t, "a", &book{})
+	l := startLocator(t, "a", &fakeAssigner{})
 	l.Logger = log.LoggerFunc(func(...any) error { lines.Add(1); return nil })
 	dead := Peer{"dead", netip.MustParseAddrPort("127.0.0.1:1")}
 	for range 20 {
--- a/entry/internal/refuser/refuser.go
+++ b/entry/internal/refuser/refuser.go
@@ -50,9 +50,9 @@
 	Retry   string `json:"retry,omitempty"`
 }
 
-// jitterParts spreads callers who are told to come back over a quarter of the wait, so that they do not
+// jitterDivisor spreads callers who are told to come back over a quarter of the wait, so that they do not
 // return all in the same second.
-const jitterParts = 4
+const jitterDivisor = 4
 
 // Write sends a refusal at once.
 func Write(w http.ResponseWriter, now time.Time, r Refusal) {
@@ -66,7 +66,7 @@
 	header := w.Header()
 	if !r.Retry.IsZero() {
 		wait := max(r.Retry.Sub(now), time.Second)
-		wait += rand.N(wait/jitterParts + 1)
+		wait += rand.N(wait/jitterDivisor + 1)
 		seconds := int64((wait + time.Second - 1) / time.Second)
 		header.Set("Retry-After", strconv.FormatInt(seconds, 10))
 		p.Retry = now.Add(wait).UTC().Format(time.RFC3339Nano)
--- a/entry/internal/requester/requester.go
+++ b/entry/internal/requester/requester.go
@@ -19,9 +19,9 @@
 
 const (
 	// callTimeout bounds one call, so that a frozen controller is left well within a lease.
-	callTimeout = 500 * time.Millisecond
-	claimCall   = time.Second
-	pause       = 50 * time.Millisecond
+	callTimeout      = 500 * time.Millisecond
+	claimCallTimeout = time.Second
+	retryDelay       = 50 * time.Millisecond
 )
 
 // Requester is the client service. Set the exported fields before Start.
@@ -32,7 +32,7 @@
 	client  *http.Client
 	mu      sync.Mutex
 	clients map[netip.AddrPort]wireconnect.ControlClient
-	current int
+	next    int
 	leader  netip.AddrPort
 }
 
@@ -68,7 +68,7 @@
 func (q *Requester) Renew(ctx context.Context, r *wire.RenewRequest) (*wire.RenewResponse, error) {
 	var last error
 	for range q.Controllers {
-		address, client := q.pick()
+		address, client := q.currentClient()
 		call, cancel := context.WithTimeout(ctx, callTimeout)
 		response, err := client.Renew(call, connect.NewRequest(r))
 		cancel()
@@ -76,7 +76,7 @@
 			return response.Msg, nil
 		}
 		last = err
-		q.turn(address, err)
+		q.switchController(address, err)
 	}
 	return nil, last
 }
@@ -85,7 +85,7 @@
 // token, so asking twice is harmless.
 func (q *Requester) Claim(ctx context.Context, c *wire.Claim) (*wire.ClaimResult, error) {
 	var result *wire.ClaimResult
-	err := q.insist(ctx, func(call context.Context, client wireconnect.ControlClient) error {
+	err := q.retry(ctx, func(call context.Context, client wireconnect.ControlClient) error {
 		response, err := client.Claim(call, connect.NewRequest(&wire.ClaimRequest{Claim: c}))
 		if err != nil {
 			return err
@@ -98,55 +98,55 @@
 
 // Settle records how a claimed request ended, again and again until ctx ends.
 func (q *Requester) Settle(ctx context.Context, s *wire.Settle) error {
-	return q.insist(ctx, func(call context.Context, client wireconnect.ControlClient) error {
+	return q.retry(ctx, func(call context.Context, client wireconnect.ControlClient) error {
 		_, err := client.Settle(call, connect.NewRequest(&wire.SettleRequest{Settle: s}))
 		return err
 	})
 }
 
-func (q *Requester) insist(
+func (q *Requester) retry(
 	ctx context.Context, run func(context.Context, wireconnect.ControlClient) error,
 ) error {
 	for {
-		address, client := q.pick()
-		call, cancel := context.WithTimeout(ctx, claimCall)
+		address, client := q.currentClient()
+		call, cancel := context.WithTimeout(ctx, claimCallTimeout)
 		err := run(call, client)
 		cancel()
 		if err == nil || connect.CodeOf(err) == connect.CodeInvalidArgument {
 			return err
 		}
-		q.turn(address, err)
+		q.switchController(address, err)
 		select {
 		case <-ctx.Done():
 			return &UnreachableError{Cause: err}
-		case <-time.After(pause):
+		case <-time.After(retryDelay):
 		}
 	}
 }
 
-func (q *Requester) pick() (netip.AddrPort, wireconnect.ControlClient) {
+func (q *Requester) currentClient() (netip.AddrPort, wireconnect.ControlClient) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if client, ok := q.clients[q.leader]; ok {
 		return q.leader, client
 	}
-	address := q.Controllers[q.current%len(q.Controllers)]
+	address := q.Controllers[q.next%len(q.Controllers)]
 	return address, q.clients[address]
 }
 
-// turn goes to the leader that a refusal names, or else to the next controller.
-func (q *Requester) turn(asked netip.AddrPort, err error) {
+// switchController goes to the leader that a refusal names, or else to the next controller.
+func (q *Requester) switchController(asked netip.AddrPort, err error) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	named := leaderOf(err)
-	if named.IsValid() && named != asked {
-		q.leader = named
+	reported := leaderOf(err)
+	if reported.IsValid() && reported != asked {
+		q.leader = reported
 		return
 	}
 	if q.leader == asked {
 		q.leader = netip.AddrPort{}
 	}
-	q.current++
+	q.next++
 }
 
 func leaderOf(err error) netip.AddrPort {
--- a/entry/internal/resolver/resolver.go
+++ b/entry/internal/resolver/resolver.go
@@ -15,7 +15,7 @@
 	"chervilrail.example/entry/internal/refuser"
 )
 
-const stampSize = 256
+const answerSize = 256
 
 // Views gives the newest view of the control state.
 type Views interface {
@@ -49,7 +49,7 @@
 		h.refuse(w, now, http.StatusNotFound, "unknown service "+strconv.Quote(service), time.Time{})
 		return
 	}
-	client, err := clientOf(query.Get("client"), r.RemoteAddr)
+	client, err := clientAddress(query.Get("client"), r.RemoteAddr)
 	if err != nil {
 		h.refuse(w, now, http.StatusBadRequest, "client: expected an IP number", time.Time{})
 		return
@@ -57,7 +57,7 @@
 	h.answer(w, now, view, service, client)
 }
 
-func clientOf(named, remote string) (netip.Addr, error) {
+func clientAddress(named, remote string) (netip.Addr, error) {
 	if named != "" {
 		return netip.ParseAddr(named)
 	}
@@ -78,7 +78,7 @@
 		h.refuse(w, now, http.StatusServiceUnavailable, "no entry instance", h.Views.RetryAt(now))
 		return
 	}
-	body := Append(make([]byte, 0, stampSize), now.Add(h.MaxAge), region, chosen[:count])
+	body := Append(make([]byte, 0, answerSize), now.Add(h.MaxAge), region, chosen[:count])
 	header := w.Header()
 	header.Set("Content-Type", "application/json")
 	header.Set("Cache-Control", "max-age="+strconv.FormatInt(int64(h.MaxAge/time.Second), 10))
--- a/entry/internal/resolver/resolver_test.go
+++ b/entry/internal/resolver/resolver_test.go
@@ -36,12 +36,12 @@
 `
 
 type fakeViews struct {
-	view *directory.View
-	at   bool
+	view      *directory.View
+	confirmed bool
 }
 
 func (v *fakeViews) View() *directory.View           { return v.view }
-func (v *fakeViews) Confirmed(time.Time) bool        { return v.at }
+func (v *fakeViews) Confirmed(time.Time) bool        { return v.confirmed }
 func (v *fakeViews) RetryAt(now time.Time) time.Time { return now.Add(time.Second) }
 
 func distance(from, to string) int {
@@ -72,7 +72,7 @@
 	}
 }
 
-func ask(h *Handler, query string) *httptest.ResponseRecorder {
+func lookUp(h *Handler, query string) *httptest.ResponseRecorder {
 	w := httptest.NewRecorder()
 	h.ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/lookup?"+query, nil))
 	return w
@@ -82,7 +82,7 @@
 	for client, region := range map[string]string{"10.2.3.4": "astana", "10.9.9.9": "almaty", "2001:db8::1": "almaty"} {
 		t.Run(client, func(t *testing.T) {
 			is := is.New(t)
-			w := ask(handler(t, true), "service=listings&client="+client)
+			w := lookUp(handler(t, true), "service=listings&client="+client)
 			is.Equal(w.Code, http.StatusOK)
 			var answer struct {
 				Deadline time.Time
@@ -111,22 +111,22 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			is.New(t).Equal(ask(handler(t, c.confirmed), c.query).Code, c.status)
+			is.New(t).Equal(lookUp(handler(t, c.confirmed), c.query).Code, c.status)
 		})
 	}
 }
 
-// nothing is a response writer that keeps nothing.
-type nothing struct{ header http.Header }
+// discardWriter is a response writer that keeps discardWriter.
+type discardWriter struct{ header http.Header }
 
-func (n *nothing) Header() http.Header         { return n.header }
-func (n *nothing) Write(p []byte) (int, error) { return len(p), nil }
-func (n *nothing) WriteHeader(int)             {}
+func (n *discardWriter) Header() http.Header         { return n.header }
+func (n *discardWriter) Write(p []byte) (int, error) { return len(p), nil }
+func (n *discardWriter) WriteHeader(int)             {}
 
 func BenchmarkLookup(b *testing.B) {
 	h := handler(b, true)
 	r := httptest.NewRequest(http.MethodGet, "/lookup?service=listings&client=10.2.3.4", nil)
-	w := &nothing{http.Header{}}
+	w := &discardWriter{http.Header{}}
 	b.ReportAllocs()
 	for b.Loop() {
 		h.ServeHTTP(w, r)
