--- a/entry/internal/broadcaster/broadcaster.go
+++ b/entry/internal/broadcaster/broadcaster.go
@@ -22,20 +22,20 @@
 )
 
 const (
-	// batchDelay is how long news wait for company.
+	// batchDelay is how long announcements and losses are collected before they are sent together.
 	batchDelay  = 25 * time.Millisecond
 	callTimeout = time.Second
-	// exchangeInterval is how often the whole register is compared with one other instance, so that what
-	// was lost on the way still arrives.
+	// exchangeInterval is how often all records are exchanged with one other instance, so that records whose broadcast
+	// was lost still arrive.
 	exchangeInterval = 2 * time.Second
-	// checkInterval is how soon a new instance is greeted.
+	// checkInterval is how often the list of peers is checked for instances to exchange with.
 	checkInterval = 200 * time.Millisecond
-	// minCompressedBytes is the smallest message worth the time of compressing it.
+	// minCompressedBytes is the size from which compressing a message is worth the time.
 	minCompressedBytes = 4 << 10
 	maxMessageBytes    = 32 << 20
 )
 
-// Register is where announcements are kept.
+// Register stores the announcements of targets.
 type Register interface {
 	View() *directory.View
 	Merge(ctx context.Context, records []*wire.Record) error
@@ -57,14 +57,14 @@
 	client  *http.Client
 	cancel  context.CancelFunc
 	group   sync.WaitGroup
-	// exchanged holds the instances whose whole register was taken since this one started.
+	// exchanged holds the instances with which a full exchange was attempted since this instance started.
 	exchanged map[string]bool
 }
 
 // Name implements kernel.Service.
 func (s *Broadcaster) Name() string { return "sharer" }
 
-// Start begins to exchange.
+// Start starts the broadcasts and the periodic exchange. It fails if the HTTP client can't be created.
 func (s *Broadcaster) Start(context.Context, kernel.Finder) error {
 	client, err := s.Dialer.Client()
 	if err != nil {
@@ -81,7 +81,7 @@
 	return nil
 }
 
-// Stop ends the exchange.
+// Stop ends the exchange and waits for calls in progress.
 func (s *Broadcaster) Stop(context.Context) error {
 	if s.cancel != nil {
 		s.cancel()
@@ -94,7 +94,7 @@
 // Health implements kernel.Service.
 func (s *Broadcaster) Health() error { return nil }
 
-// Spread queues announcements for the other instances; only the newest of each target goes out.
+// Spread queues announcements for the other instances; only the newest one of each target is sent.
 func (s *Broadcaster) Spread(records []*wire.Record) {
 	s.mu.Lock()
 	for _, r := range records {
@@ -147,7 +147,7 @@
 	return out
 }
 
-// sendAll calls the others side by side: one that hangs must not delay the news to the rest.
+// sendAll calls all peers concurrently, so that one that hangs does not delay the others.
 func (s *Broadcaster) sendAll(ctx context.Context, r *wire.ShareRequest) {
 	for _, address := range s.peers() {
 		s.group.Go(func() { _, _ = s.call(ctx, address, r) })
@@ -196,7 +196,7 @@
 	}
 }
 
-// pickPeer picks an instance not yet greeted, or when the time has come any other.
+// pickPeer returns an instance that had no full exchange yet, or, if due, any other at random.
 func (s *Broadcaster) pickPeer(due bool) (string, netip.AddrPort, bool) {
 	peers := s.peers()
 	for name, address := range peers {
@@ -231,7 +231,7 @@
 	_ = s.Register.Merge(ctx, response.GetRecords())
 }
 
-// Handler returns the service that other instances call.
+// Handler returns the handler for calls of other instances.
 func (s *Broadcaster) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle(wireconnect.NewPeersHandler(s,
--- a/entry/internal/locator/locator.go
+++ b/entry/internal/locator/locator.go
@@ -1,5 +1,5 @@
-// Package locator finds the target that keeps an object warm. For each object one entry instance of the region answers,
-// the same one for all that ask, so that they agree at once and each object runs cold once.
+// Package locator finds the target at which an object is warm. One entry instance of the region, the owner, answers for
+// each object. All instances ask the same owner, so that they agree at once and each object has only one cold run.
 package locator
 
 import (
@@ -23,14 +23,16 @@
 )
 
 const (
-	// answerTimeout is many times what an instance of the same region takes to answer. One that takes longer is frozen
-	// or cut off, and the request has better use for its time.
+	// answerTimeout is many times the usual response time of an instance of the same region. An instance that takes
+	// longer is frozen or unreachable, and the request does not wait for it.
 	answerTimeout = 100 * time.Millisecond
-	// spendTimeout is the same where the other instance may have to ask a controller first; it answers within SpendWithin.
+	// spendTimeout is the timeout where the other instance may have to call a controller first; it answers within
+	// MaxSpendWait.
 	spendTimeout = 350 * time.Millisecond
-	// MaxSpendWait is how long a request of another instance waits for a part of a quota; it comes again then.
+	// MaxSpendWait is how long a request of another instance waits for a part of a quota; the other instance then asks
+	// again.
 	MaxSpendWait = 150 * time.Millisecond
-	// exclusionTime is how long an instance that did not answer is not asked again. Each question to it holds up a request.
+	// exclusionTime is how long an instance that did not answer is not called again. Each call to it delays a request.
 	exclusionTime = time.Second
 )
 
@@ -40,17 +42,17 @@
 	Address netip.AddrPort
 }
 
-// Assigner decides for the objects that this instance answers for.
+// Assigner assigns targets to the objects that this instance owns.
 type Assigner interface {
 	Assign(now time.Time, service string, ask placer.Ask) placer.Place
 }
 
-// Spender counts requests of organisations whose parts this instance keeps for its region.
+// Spender counts requests of organisations whose parts of quotas this instance holds for its region.
 type Spender interface {
 	Spend(ctx context.Context, r *wire.SpendRequest) *wire.SpendResponse
 }
 
-// Locator asks other instances and answers them. Set the exported fields before Start.
+// Locator calls other instances and answers their calls. Set the exported fields before Start.
 type Locator struct {
 	Self     string
 	Dialer   *dialer.Dialer
@@ -70,7 +72,7 @@
 // Health implements kernel.Service.
 func (l *Locator) Health() error { return nil }
 
-// Start makes the locator ready.
+// Start creates the HTTP client, and returns its error.
 func (l *Locator) Start(context.Context, kernel.Finder) error {
 	client, err := l.Dialer.Client()
 	if err != nil {
@@ -89,15 +91,15 @@
 	return nil
 }
 
-// Owns reports whether this instance answers for an object, of those that are not known to be out of reach.
+// Owns reports whether this instance is an object's owner. Excluded instances own nothing.
 func (l *Locator) Owns(peers []Peer, object uint64) bool {
 	return l.Owner(peers, object).Name == l.Self
 }
 
-// Owner returns the instance that answers for an object, of those that are not known to be out of reach.
+// Owner returns an object's owner. Excluded instances own nothing.
 func (l *Locator) Owner(peers []Peer, object uint64) Peer { return l.owner(time.Now(), peers, object) }
 
-// owner returns the instance that answers for an object.
+// owner returns the owner of an object at a time: the instance with the highest weight that is not excluded.
 func (l *Locator) owner(now time.Time, peers []Peer, object uint64) Peer {
 	best, most, key := Peer{Name: l.Self}, uint64(0), strconv.FormatUint(object, 16)
 	l.mu.Lock()
@@ -113,8 +115,8 @@
 	return best
 }
 
-// Locate says where a request for an object goes. An instance that does not answer is left out for a while; the one that
-// comes next takes over from the hints of those who ask.
+// Locate returns the target for a request for an object. An owner that does not answer is excluded for exclusionTime;
+// the next owner continues with the hints in the requests of other instances.
 func (l *Locator) Locate(ctx context.Context, peers []Peer, service string, ask placer.Ask) placer.Place {
 	for range 2 {
 		now := time.Now()
@@ -163,7 +165,7 @@
 	return place, nil
 }
 
-// Place answers another instance.
+// Place implements the call by which another instance asks for an object's target.
 func (l *Locator) Place(
 	_ context.Context, r *connect.Request[wire.PlaceRequest],
 ) (*connect.Response[wire.PlaceResponse], error) {
@@ -177,7 +179,7 @@
 	}), nil
 }
 
-// Ask has another instance count a request, or take one back.
+// Ask calls another instance to count a request, or to return one that was counted.
 func (l *Locator) Ask(ctx context.Context, owner Peer, r *wire.SpendRequest) (*wire.SpendResponse, error) {
 	now := time.Now()
 	bounded, cancel := context.WithTimeout(ctx, spendTimeout)
@@ -193,7 +195,7 @@
 	return nil, err
 }
 
-// Spend answers another instance.
+// Spend implements the call by which another instance counts a request, or returns one.
 func (l *Locator) Spend(
 	ctx context.Context, r *connect.Request[wire.SpendRequest],
 ) (*connect.Response[wire.SpendResponse], error) {
@@ -207,7 +209,7 @@
 	return max(0, place.WarmAt.Sub(now))
 }
 
-// Handler serves the questions of other instances.
+// Handler returns the handler for calls of other instances.
 func (l *Locator) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle(wireconnect.NewPlacementHandler(l, connect.WithCompressMinBytes(dialer.CompressFrom)))
--- a/entry/internal/locator/locator_test.go
+++ b/entry/internal/locator/locator_test.go
@@ -20,7 +20,7 @@
 	"chervilrail.example/core/wire"
 )
 
-// fakeAssigner is what one instance would answer; it remembers what it was asked.
+// fakeAssigner assigns the same target to every object, and records what it was asked.
 type fakeAssigner struct {
 	mu     sync.Mutex
 	target string
@@ -50,7 +50,7 @@
 	return netip.MustParseAddrPort(strings.TrimPrefix(server.URL, "http://"))
 }
 
-// objectOf returns an object that an instance answers for.
+// objectOf returns an object that an instance owns.
 func objectOf(l *Locator, peers []Peer, owner string) string {
 	for i := 0; ; i++ {
 		if object := fmt.Sprint(i); l.owner(time.Now(), peers, placer.ObjectOf(object)).Name == owner {
@@ -59,8 +59,8 @@
 	}
 }
 
-// Two instances get requests for the same object. Each choosing by what it knows of the load, they send them to two
-// targets, and the object runs cold at both.
+// Guards against an object that runs cold at two targets. Two instances get requests for the same object, and would
+// choose different targets if each decided by the load that it knows.
 func TestInstancesAgree(t *testing.T) {
 	is := is.New(t)
 	one, two := &fakeAssigner{target: "t1"}, &fakeAssigner{target: "t2", warmAt: time.Now().Add(time.Minute)}
@@ -78,8 +78,8 @@
 	is.Equal(two.asked[0].Regions, []string{"x"})
 }
 
-// The instance that answers for an object hangs. Each request for the object would wait for it, second after second; it is
-// left out after the first, and another one answers.
+// Guards against requests that all wait for an owner that hangs. It is excluded after the first request, and another
+// instance answers.
 func TestUnresponsiveInstanceIsExcluded(t *testing.T) {
 	is := is.New(t)
 	release := make(chan struct{})
@@ -98,7 +98,8 @@
 	is.True(l.Owns(peers, placer.ObjectOf(object)))
 }
 
-// Instances hear of another one before it serves its peers, or have no address of it. The request must not fail for it.
+// Guards against requests that fail because the owner can't be reached: an instance may be known before it serves its
+// peers, or without its address.
 func TestUnreachableInstanceIsExcluded(t *testing.T) {
 	is := is.New(t)
 	l := startLocator(t, "a", &fakeAssigner{target: "t1"})
@@ -110,7 +111,8 @@
 	})
 }
 
-// Guards against an instance that is left out, and its parts of quotas with it, for the caller of a question has left.
+// Guards against an instance that is excluded, and its parts of quotas with it, because the caller of the request has
+// disconnected.
 func TestCancelledCallDoesNotExcludeTheInstance(t *testing.T) {
 	for name, cancelled := range map[string]bool{"leaves": true, "stays": false} {
 		t.Run(name, func(t *testing.T) {
@@ -133,7 +135,8 @@
 	}
 }
 
-// Guards against thousands of lines in the second after an instance has died: one tells that it does not answer.
+// Guards against thousands of log lines in the second after an instance has failed: only one reports that it does not
+// answer.
 func TestUnresponsiveInstanceIsLoggedOnce(t *testing.T) {
 	is := is.New(t)
 	var lines atomic.Int32
--- a/entry/internal/refuser/refuser.go
+++ b/entry/internal/refuser/refuser.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Headers of callers' requests and answers.
+// Headers of callers' requests and of the answers to them.
 const (
 	HeaderOutcome      = "Chervilrail-Outcome"
 	HeaderService      = "Chervilrail-Service"
@@ -17,14 +17,14 @@
 	HeaderDeadline     = "Chervilrail-Deadline"
 )
 
-// Outcome tells a caller whether its request ran.
+// Outcome states whether a request ran.
 type Outcome string
 
 // The outcomes of a request without a target's answer.
 const (
-	// NotRun is said only when it is certain that no target ran the request.
+	// NotRun is used only if it is certain that no target ran the request.
 	NotRun Outcome = "not-run"
-	// Unknown is said when it may have run, or may still run.
+	// Unknown is used if the request may have run, or may still run.
 	Unknown Outcome = "unknown"
 )
 
@@ -34,13 +34,13 @@
 	Title   string
 	Detail  string
 	Outcome Outcome
-	// Retry is when the caller may come back; zero leaves the header out.
+	// Retry is when the caller may try again; the zero time omits the Retry-After header.
 	Retry time.Time
 	// Reason is a single word for logs and metrics.
 	Reason string
 }
 
-// problem is the JSON form of RFC 9457.
+// problem is the JSON form of problem details (RFC 9457).
 type problem struct {
 	Type    string `json:"type"`
 	Title   string `json:"title"`
@@ -50,11 +50,11 @@
 	Retry   string `json:"retry,omitempty"`
 }
 
-// jitterDivisor spreads callers who are told to come back over a quarter of the wait, so that they do not
-// return all in the same second.
+// jitterDivisor spreads the retries of callers over an additional quarter of the wait, so that they do not all return
+// in the same second.
 const jitterDivisor = 4
 
-// Write sends a refusal at once.
+// Write sends a refusal. If r.Retry is set, the answer asks the caller to wait at least one second, plus jitter.
 func Write(w http.ResponseWriter, now time.Time, r Refusal) {
 	p := problem{
 		Type:    "about:blank",
--- a/entry/internal/requester/requester.go
+++ b/entry/internal/requester/requester.go
@@ -1,4 +1,4 @@
-// Package requester calls whichever controller leads, and finds it again when that changes.
+// Package requester calls the leading controller, and finds the new leader after a change.
 package requester
 
 import (
@@ -18,13 +18,13 @@
 )
 
 const (
-	// callTimeout bounds one call, so that a frozen controller is left well within a lease.
+	// callTimeout bounds one call, so that there is time within a lease to switch away from a frozen controller.
 	callTimeout      = 500 * time.Millisecond
 	claimCallTimeout = time.Second
 	retryDelay       = 50 * time.Millisecond
 )
 
-// Requester is the client service. Set the exported fields before Start.
+// Requester is the client of the controllers. Set the exported fields before Start.
 type Requester struct {
 	Dialer      *dialer.Dialer
 	Controllers []netip.AddrPort
@@ -39,7 +39,7 @@
 // Name implements kernel.Service.
 func (q *Requester) Name() string { return "requester" }
 
-// Start makes the clients.
+// Start creates the client of each controller. It fails if the HTTP client can't be created.
 func (q *Requester) Start(context.Context, kernel.Finder) error {
 	client, err := q.Dialer.Client()
 	if err != nil {
@@ -64,7 +64,8 @@
 // Health implements kernel.Service.
 func (q *Requester) Health() error { return nil }
 
-// Renew sends one heartbeat to the leader, asking every controller once at most.
+// Renew sends one heartbeat to the leader. It makes at most one call per controller, and returns the last error if all
+// fail.
 func (q *Requester) Renew(ctx context.Context, r *wire.RenewRequest) (*wire.RenewResponse, error) {
 	var last error
 	for range q.Controllers {
@@ -81,8 +82,8 @@
 	return nil, last
 }
 
-// Claim asks for the right to run a request, again and again until ctx ends. The request carries its own
-// token, so asking twice is harmless.
+// Claim requests the right to run a request. It retries until ctx ends and then returns an UnreachableError; only an
+// invalid claim fails immediately. Claims are idempotent, because each carries its own token.
 func (q *Requester) Claim(ctx context.Context, c *wire.Claim) (*wire.ClaimResult, error) {
 	var result *wire.ClaimResult
 	err := q.retry(ctx, func(call context.Context, client wireconnect.ControlClient) error {
@@ -96,7 +97,8 @@
 	return result, err
 }
 
-// Settle records how a claimed request ended, again and again until ctx ends.
+// Settle records the outcome of a claimed request. It retries until ctx ends and then returns an UnreachableError; only
+// invalid arguments fail immediately.
 func (q *Requester) Settle(ctx context.Context, s *wire.Settle) error {
 	return q.retry(ctx, func(call context.Context, client wireconnect.ControlClient) error {
 		_, err := client.Settle(call, connect.NewRequest(&wire.SettleRequest{Settle: s}))
@@ -134,7 +136,7 @@
 	return address, q.clients[address]
 }
 
-// switchController goes to the leader that a refusal names, or else to the next controller.
+// switchController switches to the leader that err reports, or else to the next controller.
 func (q *Requester) switchController(asked netip.AddrPort, err error) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -167,7 +169,7 @@
 	return netip.AddrPort{}
 }
 
-// UnreachableError says that no leading controller answered in time.
+// UnreachableError reports that no leading controller answered in time.
 type UnreachableError struct {
 	Cause error
 }
--- a/entry/internal/resolver/resolver.go
+++ b/entry/internal/resolver/resolver.go
@@ -1,4 +1,4 @@
-// Package resolver answers look-ups: which entry instances a caller should use.
+// Package resolver answers look-ups: it tells callers which entry instances to use.
 package resolver
 
 import (
@@ -17,7 +17,7 @@
 
 const answerSize = 256
 
-// Views gives the newest view of the control state.
+// Views provides the current view of the control state.
 type Views interface {
 	View() *directory.View
 	Confirmed(now time.Time) bool
@@ -28,14 +28,14 @@
 type Handler struct {
 	Views  Views
 	Region string
-	// MaxAge is how long callers may keep an answer.
+	// MaxAge is how long callers may cache an answer.
 	MaxAge time.Duration
 	Logger log.Logger
 	Count  func(result string)
 }
 
-// ServeHTTP implements http.Handler. The query names the service, and the client's address where it is
-// not the caller's own.
+// ServeHTTP implements http.Handler. The query names the service, and the client's IP address if it differs from the
+// caller's.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	now := time.Now()
 	view := h.Views.View()
@@ -88,8 +88,8 @@
 		"entry", chosen[0].Name, "number", view.Number)
 }
 
-// Append writes an answer as JSON. It is written by hand because a look-up may not allocate per entry;
-// names hold only letters, digits and hyphens, so nothing needs escaping.
+// Append appends an answer as JSON to out. It does not use an encoder, so that a look-up does not allocate for each
+// entry. Names hold only letters, digits and hyphens, so nothing needs escaping.
 func Append(out []byte, deadline time.Time, region string, chosen []*chooser.Instance) []byte {
 	out = append(out, `{"deadline":"`...)
 	out = deadline.UTC().AppendFormat(out, time.RFC3339Nano)
--- a/entry/internal/resolver/resolver_test.go
+++ b/entry/internal/resolver/resolver_test.go
@@ -116,7 +116,7 @@
 	}
 }
 
-// discardWriter is a response writer that keeps discardWriter.
+// discardWriter is a response writer that discards everything.
 type discardWriter struct{ header http.Header }
 
 func (n *discardWriter) Header() http.Header         { return n.header }
