--- a/entry/internal/forwarder/attempt.go
+++ b/entry/internal/forwarder/attempt.go
@@ -30,7 +30,7 @@
 	response *http.Response
 	target   *balancer.Target
 	refusal  *refuser.Refusal
-	// release returns the slot once the response is relayed.
+	// release closes the response and returns the slot; call it once the response is relayed.
 	release func()
 	ending  retrier.Ending
 	// took is the time to the response's header.
@@ -212,9 +212,9 @@
 	return nil, capped
 }
 
-// takeLimits takes one unit of each limit on requests from a home region to another region. Every request that reaches
-// a shift's new region from the old one counts against the shift's cap, including those sent there because the home
-// region is full: the load on the new region's cold caches is the same.
+// takeLimits takes one unit of each limit that applies to a request from a home region which is sent to a region. Every
+// request that reaches a shift's new region from the old one counts against the shift's cap, including those sent there
+// because the home region is full: both meet the new region's cold caches.
 func (f *Forwarder) takeLimits(now time.Time, j *job, home, region string) bool {
 	for _, s := range j.view.Catalogue.Shifts {
 		if s.Service == j.entry.Service && s.From == home && s.To == region {
--- a/entry/internal/forwarder/connections.go
+++ b/entry/internal/forwarder/connections.go
@@ -19,10 +19,10 @@
 
 const (
 	dialTimeout = 2 * time.Second
-	// idleTimeout closes idle connections of requests that may repeat.
+	// idleTimeout is how long idle connections for requests that may repeat are kept open.
 	idleTimeout = 90 * time.Second
-	// onceIdleTimeout is short: a device on the path may have dropped its state of a connection that was idle for long,
-	// and the outcome of a request that must not repeat would be unknown if it were sent on it.
+	// onceIdleTimeout is the same for requests that must not repeat. It is short, because a device on the path may have
+	// dropped its state of a connection that was idle for long, and the outcome of a request sent on it would be unknown.
 	onceIdleTimeout = time.Second
 	// headerTimeout bounds the wait for the response to an upload after its last byte.
 	headerTimeout     = 2 * time.Minute
--- a/entry/internal/forwarder/forwarder.go
+++ b/entry/internal/forwarder/forwarder.go
@@ -47,7 +47,7 @@
 	BroadcastLoss(l *wire.Loss)
 }
 
-// Forwarder is the traffic service. Set the exported fields before Start.
+// Forwarder is the service that forwards requests. Set the exported fields before Start.
 type Forwarder struct {
 	Instance        string
 	Region          string
@@ -199,7 +199,8 @@
 	}
 }
 
-// forward takes a prepared request through admission, claim and attempts.
+// forward takes a prepared request through admission, claim and attempts. It returns nil if it has written the answer,
+// or else the refusal to write.
 func (f *Forwarder) forward(w http.ResponseWriter, j *job) *refuser.Refusal {
 	d := f.admission(j.entry.Service)
 	d.applyView(time.Now(), j.view, j.entry.Service)
--- a/entry/internal/forwarder/forwarder_test.go
+++ b/entry/internal/forwarder/forwarder_test.go
@@ -181,11 +181,11 @@
 		if err != nil {
 			return
 		}
-		go b.connection(c)
+		go b.serveConnection(c)
 	}
 }
 
-func (b *breakingTarget) connection(c net.Conn) {
+func (b *breakingTarget) serveConnection(c net.Conn) {
 	defer func() { _ = c.Close() }()
 	reader := bufio.NewReader(c)
 	for i := range 2 {
--- a/entry/internal/locator/locator.go
+++ b/entry/internal/locator/locator.go
@@ -101,15 +101,15 @@
 
 // owner returns the owner of an object at a time: the instance with the highest weight that is not excluded.
 func (l *Locator) owner(now time.Time, peers []Peer, object uint64) Peer {
-	best, most, key := Peer{Name: l.Self}, uint64(0), strconv.FormatUint(object, 16)
+	best, highest, key := Peer{Name: l.Self}, uint64(0), strconv.FormatUint(object, 16)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, p := range peers {
 		if p.Name != l.Self && now.Before(l.excludedUntil[p.Name]) {
 			continue
 		}
-		if w := dealer.Weight(key, p.Name); w > most {
-			best, most = p, w
+		if w := dealer.Weight(key, p.Name); w > highest {
+			best, highest = p, w
 		}
 	}
 	return best
--- a/entry/internal/locator/locator_test.go
+++ b/entry/internal/locator/locator_test.go
@@ -118,9 +118,9 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			release := make(chan struct{})
-			hangs := http.HandlerFunc(func(http.ResponseWriter, *http.Request) { <-release })
+			hanging := http.HandlerFunc(func(http.ResponseWriter, *http.Request) { <-release })
 			l := startLocator(t, "a", &fakeAssigner{})
-			peers := []Peer{{"a", netip.AddrPort{}}, {"slow", serve(t, hangs)}}
+			peers := []Peer{{"a", netip.AddrPort{}}, {"slow", serve(t, hanging)}}
 			t.Cleanup(func() { close(release) })
 			object := placer.ObjectOf(objectOf(l, peers, "slow"))
 			ctx, cancel := context.WithCancel(t.Context())
