--- a/entry/internal/broadcaster/broadcaster.go
+++ b/entry/internal/broadcaster/broadcaster.go
@@ -170,7 +170,9 @@
 	return out
 }
 
-func (s *Broadcaster) call(ctx context.Context, address netip.AddrPort, r *wire.ShareRequest) (*wire.ShareResponse, error) {
+func (s *Broadcaster) call(
+	ctx context.Context, address netip.AddrPort, r *wire.ShareRequest,
+) (*wire.ShareResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	client := wireconnect.NewPeersClient(s.client, s.Dialer.URL(address))
