--- a/controller/internal/cli/cli.go
+++ b/controller/internal/cli/cli.go
@@ -143,15 +143,15 @@
 	controlKeys := &securer.Keys{Files: settings.ControlKeys}
 	carrier := &courier.Courier{Dialer: &dialer.Dialer{Keys: controlKeys}, Logger: logs}
 	mind := &consenter.Consenter{
-		Folder: settings.Folder,
-		Member: &wire.Member{Name: settings.Name, Address: settings.Control.String()},
-		Peers:  settings.Peers,
-		Seats:  settings.Seats,
-		Found:  settings.Found,
+		Folder:    settings.Folder,
+		Member:    &wire.Member{Name: settings.Name, Address: settings.Control.String()},
+		Peers:     settings.Peers,
+		MaxVoters: settings.Seats,
+		Bootstrap: settings.Found,
 		Timing: replicator.Timing{
-			Election:  settings.Election,
-			Heartbeat: settings.Heartbeat,
-			Replace:   settings.Replace,
+			Election:     settings.Election,
+			Heartbeat:    settings.Heartbeat,
+			ReplaceAfter: settings.Replace,
 		},
 		Lease:  settings.Lease,
 		Quotas: settings.Quotas,
@@ -163,7 +163,7 @@
 		Self: settings.Name, Region: settings.Region, Mind: mind, Dialer: &dialer.Dialer{Keys: controlKeys, Plain: true},
 		Shelf: &storer.Hosts{Folder: settings.Folder}, Logger: logs,
 	}
-	mind.Changed = exchange.Wake
+	mind.OnRoutingChange = exchange.Wake
 	change := &changer.Changer{Mind: mind, Passer: exchange, Logger: logs}
 	divide := &divider.Divider{Mind: mind, Passer: exchange, Logger: logs}
 	handlers := &server.Server{
--- a/controller/internal/consenter/apply.go
+++ b/controller/internal/consenter/apply.go
@@ -31,7 +31,7 @@
 	}
 	delete(c.waiting, e.GetIndex())
 	if p.term != e.GetTerm() {
-		p.reply <- answer{err: &LostError{}}
+		p.reply <- answer{err: &ProposalReplacedError{}}
 		return
 	}
 	p.reply <- answer{result: result}
@@ -58,7 +58,7 @@
 	_ = level.Info(c.Logger).Log("msg", "role", "role", role, "term", c.replica.Term(),
 		"leader", c.replica.LeaderMember().GetName())
 	if role == replicator.Leader {
-		c.grants = granter.Granter{Lease: c.Lease, Since: now}
+		c.grants = granter.Granter{Lease: c.Lease, ElectedAt: now}
 		c.grants.SetLimits(c.limits)
 		c.roster.reset(now)
 		c.quotas.lead(c, now)
@@ -71,7 +71,7 @@
 func (c *Consenter) abandon() {
 	for index, p := range c.waiting {
 		delete(c.waiting, index)
-		p.reply <- answer{err: &UnknownError{}}
+		p.reply <- answer{err: &OutcomeUnknownError{}}
 	}
 }
 
--- a/controller/internal/consenter/consenter.go
+++ b/controller/internal/consenter/consenter.go
@@ -40,20 +40,20 @@
 	Member *wire.Member
 	// Peers are the controllers known from the settings, by name.
 	Peers map[string]netip.AddrPort
-	// Seats is how many controllers vote.
-	Seats int
-	// Found makes this controller one of the group's founders if its disk is empty: the group then is exactly
+	// MaxVoters is how many controllers vote.
+	MaxVoters int
+	// Bootstrap makes this controller one of the group's founders if its disk is empty: the group then is exactly
 	// Peers. It may only be set while the whole system starts for the first time, on all founders alike.
-	Found  bool
-	Timing replicator.Timing
-	Lease  time.Duration
+	Bootstrap bool
+	Timing    replicator.Timing
+	Lease     time.Duration
 	// Quotas say how exact organisations' quotas have to be.
-	Quotas quoter.Terms
+	Quotas quoter.Tolerance
 	Sender Sender
-	// Changed is called after the routing state has changed; it must not block.
-	Changed func()
-	Logger  log.Logger
-	Fatal   chan<- error
+	// OnRoutingChange is called after the routing state has changed; it must not block.
+	OnRoutingChange func()
+	Logger          log.Logger
+	Fatal           chan<- error
 
 	replica   replicator.Replica
 	store     storer.Storer
@@ -139,7 +139,7 @@
 		Self:   c.Member,
 		Timing: c.Timing,
 		Random: rand.New(rand.NewPCG(c.Member.GetIncarnation(), uint64(now.UnixNano()))),
-		Seats:  c.Seats,
+		Seats:  c.MaxVoters,
 	}
 	c.replica.Start(now, recovered.Vote, recovered.Snapshot, recovered.Entries)
 	_ = level.Info(c.Logger).Log("msg", "recovered", "incarnation", c.Member.GetIncarnation(),
@@ -177,7 +177,7 @@
 		return &StalledError{}
 	}
 	if s.Leader == "" {
-		return &LeaderError{}
+		return &NotLeaderError{}
 	}
 	return nil
 }
--- a/controller/internal/consenter/errors.go
+++ b/controller/internal/consenter/errors.go
@@ -2,31 +2,35 @@
 
 import "fmt"
 
-// LeaderError says that another controller must be asked; what was asked for certainly did not happen.
-type LeaderError struct {
+// NotLeaderError says that another controller must be asked; what was asked for certainly did not happen.
+type NotLeaderError struct {
 	Leader  string
 	Address string
 }
 
 // Error implements error.
-func (e *LeaderError) Error() string {
+func (e *NotLeaderError) Error() string {
 	if e.Leader == "" {
 		return "no leader is known"
 	}
 	return fmt.Sprintf("%s at %s leads", e.Leader, e.Address)
 }
 
-// LostError says that a proposal was replaced by another and certainly did not happen.
-type LostError struct{}
+// ProposalReplacedError says that a proposal was replaced by another and certainly did not happen.
+type ProposalReplacedError struct{}
 
 // Error implements error.
-func (e *LostError) Error() string { return "the proposal was replaced after a change of leader" }
+func (e *ProposalReplacedError) Error() string {
+	return "the proposal was replaced after a change of leader"
+}
 
-// UnknownError says that a proposal may or may not happen; ask again under the same id.
-type UnknownError struct{}
+// OutcomeUnknownError says that a proposal may or may not happen; ask again under the same id.
+type OutcomeUnknownError struct{}
 
 // Error implements error.
-func (e *UnknownError) Error() string { return "the outcome is unknown; ask again with the same id" }
+func (e *OutcomeUnknownError) Error() string {
+	return "the outcome is unknown; ask again with the same id"
+}
 
 // StalledError says that the control goroutine does not run.
 type StalledError struct{}
@@ -34,14 +38,14 @@
 // Error implements error.
 func (e *StalledError) Error() string { return "control state is not running" }
 
-// GroupError says that the caller belongs to another group of controllers.
-type GroupError struct {
+// WrongGroupError says that the caller belongs to another group of controllers.
+type WrongGroupError struct {
 	Want uint64
 	Have uint64
 }
 
 // Error implements error.
-func (e *GroupError) Error() string {
+func (e *WrongGroupError) Error() string {
 	return fmt.Sprintf("this controller belongs to group %x, not %x", e.Have, e.Want)
 }
 
--- a/controller/internal/consenter/quotas.go
+++ b/controller/internal/consenter/quotas.go
@@ -42,7 +42,7 @@
 // lead begins to allot anew.
 func (q *quotas) lead(c *Consenter, now time.Time) {
 	q.allotter = &quoter.Allotter{
-		Terms: c.Quotas, Term: c.replica.Term(), Since: now, Lease: quotaLease, Distrust: c.Timing.Election,
+		Tolerance: c.Quotas, Term: c.replica.Term(), ElectedAt: now, Lease: quotaLease, Holdoff: c.Timing.Election,
 	}
 	q.listing = map[string]time.Time{}
 	q.follow(c.state.Plan(), c.state.Holders(), c.state.Stretched())
@@ -50,7 +50,7 @@
 
 func (q *quotas) follow(plan *wire.Plan, holders []*wire.QuotaHolder, stretched []string) {
 	q.plan, q.holders, q.stretched = plan, holders, stretched
-	q.allotter.Follow(plan, holders, stretched)
+	q.allotter.Update(plan, holders, stretched)
 }
 
 // noticeQuotas follows the replicated state.
@@ -74,7 +74,7 @@
 // tendQuotas proposes what has to be replicated before it may be relied on.
 func (c *Consenter) tendQuotas(now time.Time) {
 	q := &c.quotas
-	if names := q.allotter.Stretching(); len(names) > 0 && !now.Before(q.stretchAt) {
+	if names := q.allotter.ToStretch(); len(names) > 0 && !now.Before(q.stretchAt) {
 		q.stretchAt = now.Add(stretchEvery)
 		c.proposeOwn(&wire.Command{Stretch: &wire.StretchChange{Organisations: names, On: true}})
 	}
@@ -82,10 +82,10 @@
 		return
 	}
 	q.pruneAt = now.Add(pruneEvery)
-	for _, h := range q.allotter.Gone(now) {
+	for _, h := range q.allotter.Expired(now) {
 		c.proposeOwn(&wire.Command{Holder: &wire.HolderChange{Holder: h, Gone: true}})
 	}
-	if names := q.allotter.Relaxing(); len(names) > 0 {
+	if names := q.allotter.ToRelax(); len(names) > 0 {
 		c.proposeOwn(&wire.Command{Stretch: &wire.StretchChange{Organisations: names}})
 	}
 }
@@ -142,7 +142,7 @@
 	}
 	c.noticeQuotas(now)
 	if !change.GetGone() && term == c.replica.Term() {
-		q.allotter.New(change.GetHolder())
+		q.allotter.MarkNew(change.GetHolder())
 	}
 	_ = level.Info(c.Logger).Log("msg", "holder of quotas", "holder", change.GetHolder().GetName(),
 		"incarnation", change.GetHolder().GetIncarnation(), "gone", change.GetGone(), "holders", len(q.holders))
@@ -156,7 +156,7 @@
 	}
 	c.noticeQuotas(now)
 	if term == c.replica.Term() {
-		q.allotter.Stretched(change, changed)
+		q.allotter.ApplyStretch(change, changed)
 	}
 	_ = level.Info(c.Logger).Log("msg", "quotas stretched", "organisations", len(change.GetOrganisations()),
 		"on", change.GetOn(), "changed", len(changed), "stretched", len(q.stretched))
--- a/core/gossiper/exchange.go
+++ b/core/gossiper/exchange.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"chervilrail.example/core/gauger"
+	"chervilrail.example/core/aggregator"
 	"chervilrail.example/core/wire"
 )
 
@@ -16,8 +16,8 @@
 	return p
 }
 
-// Outgoing returns what to tell another controller now.
-func (g *Gossiper) Outgoing(now time.Time, name string) *wire.ExchangeRequest {
+// BuildRequest returns what to tell another controller now.
+func (g *Gossiper) BuildRequest(now time.Time, name string) *wire.ExchangeRequest {
 	g.init()
 	p := g.peer(name)
 	whole := p.differs && now.Sub(p.differAt) > repairAfter
@@ -39,14 +39,14 @@
 	out.Hosted = g.hosts.counter
 	out.Hosts = g.hosts.since(p.hosted, func(m *hostMark) bool { return m.own })
 	if p.region == g.Region {
-		out.Loads = gauger.Encode(g.gauge.Near(p.loadedAt))
+		out.Loads = aggregator.Encode(g.gauge.Local(p.loadedAt))
 		p.loadedAt = now
 	}
 	return out
 }
 
-// Incoming takes what another controller tells.
-func (g *Gossiper) Incoming(now time.Time, r *wire.ExchangeRequest) *wire.ExchangeResponse {
+// HandleRequest takes what another controller tells.
+func (g *Gossiper) HandleRequest(now time.Time, r *wire.ExchangeRequest) *wire.ExchangeResponse {
 	g.init()
 	for _, record := range r.GetRecords() {
 		g.learn(now, record)
@@ -54,9 +54,9 @@
 	for _, s := range r.GetSeen() {
 		g.counter = g.nodes.sight(s.GetNode(), now.Add(-time.Duration(s.GetAge())), false, g.counter)
 	}
-	g.Report(now, r.GetLosses(), false)
+	g.ReportLosses(now, r.GetLosses(), false)
 	g.settle(r.GetHosts(), false)
-	g.gauge.See(now, gauger.Decode(r.GetLoads()), false)
+	g.gauge.Record(now, aggregator.Decode(r.GetLoads()), false)
 	p := g.peer(r.GetFrom())
 	p.region = r.GetRegion()
 	g.compare(now, p, r.GetDigest())
@@ -84,9 +84,9 @@
 	p.differs = differs
 }
 
-// Acked notes another controller's answer to an exchange that was sent at a time. A new run of it has forgotten
+// HandleResponse notes another controller's answer to an exchange that was sent at a time. A new run of it has forgotten
 // everything, so it is told everything again.
-func (g *Gossiper) Acked(sent time.Time, name string, r *wire.ExchangeResponse) {
+func (g *Gossiper) HandleResponse(sent time.Time, name string, r *wire.ExchangeResponse) {
 	p := g.peer(name)
 	if r.GetRun() != g.Run {
 		return
@@ -104,30 +104,30 @@
 	p.ackedAt = sent
 }
 
-// Holds reports whether a controller has acknowledged everything up to a counter.
-func (g *Gossiper) Holds(name string, counter uint64) bool {
+// HasAcknowledged reports whether a controller has acknowledged everything up to a counter.
+func (g *Gossiper) HasAcknowledged(name string, counter uint64) bool {
 	return name == g.Self || g.peers[name] != nil && g.peers[name].acked >= counter
 }
 
-// Near reports whether a controller is in a region and answered an exchange lately.
-func (g *Gossiper) Near(now time.Time, name, region string) bool {
+// ReachableIn reports whether a controller is in a region and answered an exchange lately.
+func (g *Gossiper) ReachableIn(now time.Time, name, region string) bool {
 	if name == g.Self {
 		return region == g.Region
 	}
-	return g.Reached(now, name) && g.peers[name].region == region
+	return g.Reachable(now, name) && g.peers[name].region == region
 }
 
-// Reached reports whether a controller answered an exchange lately.
-func (g *Gossiper) Reached(now time.Time, name string) bool {
+// Reachable reports whether a controller answered an exchange lately.
+func (g *Gossiper) Reachable(now time.Time, name string) bool {
 	return name == g.Self || g.peers[name] != nil && now.Sub(g.peers[name].ackedAt) < linkLife
 }
 
-// Loads takes what entry instances were told by targets.
-func (g *Gossiper) Loads(now time.Time, loads *wire.Loads) {
-	g.gauge.See(now, gauger.Decode(loads), true)
+// UpdateLoads takes what entry instances were told by targets.
+func (g *Gossiper) UpdateLoads(now time.Time, loads *wire.Loads) {
+	g.gauge.Record(now, aggregator.Decode(loads), true)
 }
 
 // LoadsSince returns the loads that changed after a count, and the count of changes so far.
 func (g *Gossiper) LoadsSince(counter uint64) (*wire.Loads, uint64) {
-	return gauger.Encode(g.gauge.Since(counter)), g.gauge.Counter()
+	return aggregator.Encode(g.gauge.Since(counter)), g.gauge.Counter()
 }
--- a/core/gossiper/gossiper.go
+++ b/core/gossiper/gossiper.go
@@ -13,7 +13,7 @@
 	"github.com/cespare/xxhash/v2"
 	"google.golang.org/protobuf/proto"
 
-	"chervilrail.example/core/gauger"
+	"chervilrail.example/core/aggregator"
 	"chervilrail.example/core/registrar"
 	"chervilrail.example/core/wire"
 )
@@ -48,7 +48,7 @@
 	peers   map[string]*peer
 	losses  []*loss
 	hosts   hosts
-	gauge   gauger.Gauge
+	gauge   aggregator.LoadTable
 	// counter grows with everything that a watcher should learn.
 	counter uint64
 	// digest sums up the targets' records; equal pictures have equal digests.
@@ -160,8 +160,8 @@
 	m.digest = sum
 }
 
-// Report takes reports of requests that were in flight when a target died.
-func (g *Gossiper) Report(now time.Time, reports []*wire.Loss, home bool) {
+// ReportLosses takes reports of requests that were in flight when a target died.
+func (g *Gossiper) ReportLosses(now time.Time, reports []*wire.Loss, home bool) {
 	for _, r := range reports {
 		if slices.ContainsFunc(g.losses, func(l *loss) bool { return proto.Equal(l.report, r) }) {
 			continue
@@ -206,8 +206,8 @@
 	}
 }
 
-// News is what a watcher lacks.
-type News struct {
+// Changes is what a watcher lacks.
+type Changes struct {
 	Records []*wire.Record
 	// Seen are the entry instances that changed, those that are gone marked lost, or all if Whole is set.
 	Seen   []*wire.Seen
@@ -216,13 +216,13 @@
 }
 
 // Empty reports whether there is nothing new.
-func (n *News) Empty() bool {
+func (n *Changes) Empty() bool {
 	return len(n.Records)+len(n.Seen)+len(n.Losses) == 0
 }
 
-// Since returns what a watcher lacks that has seen everything up to a counter.
-func (g *Gossiper) Since(now time.Time, counter uint64) *News {
-	out := &News{Records: g.changed(now, counter, func(*mark) bool { return true })}
+// ChangesSince returns what a watcher lacks that has seen everything up to a counter.
+func (g *Gossiper) ChangesSince(now time.Time, counter uint64) *Changes {
+	out := &Changes{Records: g.changed(now, counter, func(*mark) bool { return true })}
 	for _, l := range g.losses {
 		if l.counter > counter {
 			out.Losses = append(out.Losses, l.report)
--- a/core/placer/placer_test.go
+++ b/core/placer/placer_test.go
@@ -12,19 +12,19 @@
 var start = time.Unix(1000, 0)
 
 func newPlacer(specs ...Spec) *Placer {
-	p := &Placer{Region: "r", Zone: "z", Far: 70 * time.Millisecond}
+	p := &Placer{Region: "r", Zone: "z", InterRegionRTT: 70 * time.Millisecond}
 	p.Update(start.Add(-time.Minute), specs, 1)
 	return p
 }
 
 func spec(name string) Spec {
-	return Spec{Name: name, Incarnation: 1, Region: "r", Zone: "z", Slots: 1, Own: 1}
+	return Spec{Name: name, Incarnation: 1, Region: "r", Zone: "z", Slots: 1, OwnSlots: 1}
 }
 
 func ticket(priority int32) *Ticket {
 	return &Ticket{
-		Priority: priority, Aim: start.Add(500 * time.Millisecond), Deadline: start.Add(2 * time.Second),
-		Warm: 100 * time.Millisecond, Cold: 100 * time.Millisecond, Decided: make(chan Decision, 1),
+		Priority: priority, SoftDeadline: start.Add(500 * time.Millisecond), Deadline: start.Add(2 * time.Second),
+		WarmTime: 100 * time.Millisecond, ColdTime: 100 * time.Millisecond, Decided: make(chan Decision, 1),
 	}
 }
 
@@ -71,14 +71,14 @@
 func TestColdTargetKeepsItsRate(t *testing.T) {
 	is := is.New(t)
 	cold := spec("a")
-	cold.Slots, cold.Own = 100, 100
+	cold.Slots, cold.OwnSlots = 100, 100
 	cold.ColdUntil, cold.Rate = start.Add(time.Minute), 5
 	p := newPlacer(cold)
 	sent := 0
 	for i := range 300 {
 		now := start.Add(time.Duration(i) * 10 * time.Millisecond)
 		if decision, decided := p.Offer(now, ticket(0)); decided && decision.Target != nil {
-			p.Done(now, decision.Target, Outcome{Took: time.Millisecond, Usual: time.Millisecond})
+			p.Done(now, decision.Target, Outcome{ResponseTime: time.Millisecond, ExpectedTime: time.Millisecond})
 			sent++
 		}
 	}
@@ -94,7 +94,7 @@
 	for range 5 {
 		next, decided := p.Offer(start, ticket(0))
 		is.True(decided && next.Target != nil && next.Target.Name != dead.Target.Name)
-		p.Done(start, next.Target, Outcome{Took: time.Millisecond, Usual: time.Millisecond})
+		p.Done(start, next.Target, Outcome{ResponseTime: time.Millisecond, ExpectedTime: time.Millisecond})
 	}
 }
 
@@ -109,7 +109,7 @@
 		decision, decided := p.Offer(start, ticket(0))
 		is.True(decided)
 		if decision.Target != nil {
-			p.Done(start, decision.Target, Outcome{Took: time.Second, Usual: 100 * time.Millisecond})
+			p.Done(start, decision.Target, Outcome{ResponseTime: time.Second, ExpectedTime: 100 * time.Millisecond})
 		}
 	}
 	is.True(!start.Before(p.spread.free))
@@ -141,7 +141,7 @@
 	now := start
 	at := func(d time.Duration) *Ticket {
 		k := ticket(0)
-		k.Aim, k.Deadline = now.Add(300*time.Millisecond), now.Add(d)
+		k.SoftDeadline, k.Deadline = now.Add(300*time.Millisecond), now.Add(d)
 		return k
 	}
 	running, _ := p.Offer(now, at(time.Minute))
@@ -151,7 +151,7 @@
 	}
 	for range 10 {
 		now = now.Add(time.Second)
-		placed := p.Done(now, running.Target, Outcome{Took: 100 * time.Millisecond})
+		placed := p.Done(now, running.Target, Outcome{ResponseTime: 100 * time.Millisecond})
 		is.Equal(len(placed), 1)
 		running = placed[0].Decision
 	}
--- a/core/placer/replay_test.go
+++ b/core/placer/replay_test.go
@@ -10,9 +10,9 @@
 	"strconv"
 	"time"
 
-	"chervilrail.example/core/dealer"
-	"chervilrail.example/core/gauger"
+	"chervilrail.example/core/aggregator"
 	"chervilrail.example/core/messenger"
+	"chervilrail.example/core/partitioner"
 )
 
 // replay is a small world in logical time: targets that work faster on objects they handled lately, several entry
@@ -32,7 +32,7 @@
 	start time.Time
 	span  time.Duration
 	// gauges are the regions' pictures of the targets' loads, told what of them was passed on.
-	gauges map[string]*gauger.Gauge
+	gauges map[string]*aggregator.LoadTable
 	told   map[string]uint64
 	// busy holds the requests per slot of every target, sampled while the load lasts.
 	busy []float64
@@ -160,7 +160,7 @@
 	r := &replay{
 		random: rand.New(rand.NewPCG(seed, 1)), now: time.Unix(1000, 0), targets: map[string]*worker{},
 		kinds: w.kinds, naive: naive, score: map[string]*tally{}, flows: map[int]map[string]map[string]int{}, world: w,
-		gauges: map[string]*gauger.Gauge{}, told: map[string]uint64{},
+		gauges: map[string]*aggregator.LoadTable{}, told: map[string]uint64{},
 	}
 	r.start = r.now
 	for _, region := range slices.Sorted(maps.Keys(w.targets)) {
@@ -171,9 +171,9 @@
 		}
 	}
 	for _, region := range slices.Sorted(maps.Keys(w.targets)) {
-		r.gauges[region] = &gauger.Gauge{}
+		r.gauges[region] = &aggregator.LoadTable{}
 		for i := range w.entries {
-			p := &Placer{Region: region, Zone: region, Far: 2 * farOneWay}
+			p := &Placer{Region: region, Zone: region, InterRegionRTT: 2 * farOneWay}
 			r.entries = append(r.entries, &instance{fmt.Sprintf("%s-%d", region, i), region, p})
 		}
 	}
@@ -186,23 +186,23 @@
 
 // deal gives the targets' slots to the entry instances, as the watcher does.
 func (r *replay) deal(at time.Time) {
-	var instances []dealer.Instance
+	var instances []partitioner.Instance
 	for _, e := range r.entries {
-		instances = append(instances, dealer.Instance{Name: e.name, Region: e.region})
+		instances = append(instances, partitioner.Instance{Name: e.name, Region: e.region})
 	}
-	var targets []dealer.Target
+	var targets []partitioner.Target
 	for _, s := range r.specs {
-		targets = append(targets, dealer.Target{Name: s.Name, Region: s.Region, Slots: s.Slots})
+		targets = append(targets, partitioner.Target{Name: s.Name, Region: s.Region, Slots: s.Slots})
 	}
 	for _, e := range r.entries {
 		specs := slices.Clone(r.specs)
-		for i, own := range dealer.Deal(e.name, dealer.NewPartners(instances), targets) {
-			specs[i].Own = own
+		for i, own := range partitioner.Partition(e.name, partitioner.NewMembers(instances), targets) {
+			specs[i].OwnSlots = own
 		}
 		e.placer.Update(at, specs, len(r.entries))
 		near := r.near(e.region)
 		owns := func(object uint64) bool { return ownerOf(object, near) == e }
-		e.placer.Own(owns, slices.Index(near, e), r.world.entries)
+		e.placer.SetOwnership(owns, slices.Index(near, e), r.world.entries)
 	}
 }
 
@@ -252,8 +252,8 @@
 	}
 	t := &Ticket{
 		Key: key, Priority: k.priority,
-		Aim: arrived.Add(k.aim - 2*callerWay), Deadline: arrived.Add(k.deadline),
-		Warm: time.Duration(r.world.warm * float64(k.work)), Cold: k.work, Decided: make(chan Decision, 1),
+		SoftDeadline: arrived.Add(k.aim - 2*callerWay), Deadline: arrived.Add(k.deadline),
+		WarmTime: time.Duration(r.world.warm * float64(k.work)), ColdTime: k.work, Decided: make(chan Decision, 1),
 	}
 	if r.world.agreed {
 		r.locate(e, k, t)
@@ -290,25 +290,25 @@
 
 // locate finds where a request should go, by asking the instance that answers for the object if need be.
 func (r *replay) locate(e *instance, k kind, t *Ticket) {
-	object := ObjectOf(t.Key)
-	place, ok := e.placer.Known(r.now, object, nil)
+	object := ObjectHash(t.Key)
+	place, ok := e.placer.Lookup(r.now, object, nil)
 	if !ok {
-		place = ownerOf(object, r.near(e.region)).placer.Assign(r.now, Ask{Object: t.Key, Route: k.name, Cold: t.Cold})
+		place = ownerOf(object, r.near(e.region)).placer.Assign(r.now, AssignRequest{Object: t.Key, Route: k.name, ColdTime: t.ColdTime})
 	}
-	if place.Settled {
+	if place.Changed {
 		r.settle(e.region, object, place)
 	}
-	t.Host, t.WarmAt, t.First = place.Target, place.WarmAt, place.First
+	t.Host, t.WarmAt, t.FirstRun = place.Target, place.WarmAt, place.FirstRun
 }
 
 // settle tells all instances of a region about a place, as the controllers do.
-func (r *replay) settle(region string, object uint64, place Place) {
+func (r *replay) settle(region string, object uint64, place Assignment) {
 	if r.world.deaf {
 		return
 	}
 	r.after(tellDelay, func() {
 		for _, e := range r.near(region) {
-			e.placer.Learn(r.now, object, place.Target, place.Route, place.Version)
+			e.placer.RecordAssignment(r.now, object, place.Target, place.Route, place.Version)
 		}
 	})
 }
@@ -330,7 +330,7 @@
 	}
 	for _, e := range r.entries {
 		for _, m := range e.placer.Balance(r.now) {
-			r.settle(e.region, m.Object, m.Place)
+			r.settle(e.region, m.Object, m.Assignment)
 		}
 	}
 	r.after(balanceEvery, func() { r.share(start) })
@@ -343,7 +343,7 @@
 		r.told[region] = g.Counter()
 		for _, e := range r.near(region) {
 			if !r.world.deaf {
-				e.placer.Hear(r.now, news)
+				e.placer.ObserveLoads(r.now, news)
 			}
 		}
 	}
@@ -415,10 +415,10 @@
 		r.after(way, func() {
 			outcome := Outcome{Load: &load, Failed: !ran}
 			held := float64(max(0, load.Running+load.Waiting-1)) / float64(load.Slots)
-			r.gauges[e.region].See(r.now, []gauger.Reading{{Target: gauger.Key(target.Name), PerSlot: held}}, true)
+			r.gauges[e.region].Record(r.now, []aggregator.Reading{{Target: aggregator.Key(target.Name), PerSlot: held}}, true)
 			if ran {
 				// The time that an entry instance sees holds the wait at the target.
-				outcome.Took = r.now.Sub(sent) - 2*way
+				outcome.ResponseTime = r.now.Sub(sent) - 2*way
 			}
 			for _, placed := range e.placer.Done(r.now, target, outcome) {
 				placed.Ticket.Decided <- placed.Decision
--- a/core/quoter/allotter.go
+++ b/core/quoter/allotter.go
@@ -28,14 +28,14 @@
 
 // Allotter is the giving side, owned by the leading controller. Set the exported fields before use.
 type Allotter struct {
-	Terms
+	Tolerance
 	// Term is that of the leader, Since when it was elected.
-	Term  uint64
-	Since time.Time
+	Term      uint64
+	ElectedAt time.Time
 	// Lease is how long parts hold, counted by the holder from when it asked.
 	Lease time.Duration
-	// Distrust is how long nothing is allotted after the process stood still: another leader makes itself known by then.
-	Distrust time.Duration
+	// Holdoff is how long nothing is allotted after the process stood still: another leader makes itself known by then.
+	Holdoff time.Duration
 
 	quotas map[string]*quota
 	listed map[id]*holder
@@ -75,8 +75,8 @@
 	over     bool
 }
 
-// Follow takes the organisations of the plan in force, the listed holders, oldest first, and the stretched organisations.
-func (a *Allotter) Follow(plan *wire.Plan, holders []*wire.QuotaHolder, stretched []string) {
+// Update takes the organisations of the plan in force, the listed holders, oldest first, and the stretched organisations.
+func (a *Allotter) Update(plan *wire.Plan, holders []*wire.QuotaHolder, stretched []string) {
 	if a.listed == nil {
 		a.listed, a.unknown = map[id]*holder{}, map[id]time.Time{}
 		a.fresh, a.stretching, a.relaxing = map[string]bool{}, map[string]bool{}, map[string]bool{}
@@ -96,7 +96,7 @@
 	for who := range present {
 		if _, ok := a.listed[who]; !ok {
 			a.listed[who] = &holder{parts: map[string]int64{}}
-			a.unknown[who] = a.mayHold(a.Since)
+			a.unknown[who] = a.mayHold(a.ElectedAt)
 		}
 	}
 	for who, h := range a.listed {
--- a/core/quoter/ends.go
+++ b/core/quoter/ends.go
@@ -14,12 +14,14 @@
 	endEvery = 100 * time.Millisecond
 )
 
-// New tells that a holder was listed by this leader: nobody else can have given it any part.
-func (a *Allotter) New(h *wire.QuotaHolder) { delete(a.unknown, id{h.GetName(), h.GetIncarnation()}) }
+// MarkNew tells that a holder was listed by this leader: nobody else can have given it any part.
+func (a *Allotter) MarkNew(h *wire.QuotaHolder) {
+	delete(a.unknown, id{h.GetName(), h.GetIncarnation()})
+}
 
-// Gone returns listed holders that another run of their name has followed, or that were not heard for long, and that hold
+// Expired returns listed holders that another run of their name has followed, or that were not heard for long, and that hold
 // nothing any more.
-func (a *Allotter) Gone(now time.Time) []*wire.QuotaHolder {
+func (a *Allotter) Expired(now time.Time) []*wire.QuotaHolder {
 	a.look(now)
 	var out []*wire.QuotaHolder
 	for who, h := range a.listed {
@@ -52,7 +54,7 @@
 // compare notices a process that stood still: its steady clock did, too, and the time of day went on.
 func (a *Allotter) compare(now time.Time, steady, day time.Duration) {
 	if day-steady > stood {
-		a.distrusted = now.Add(a.Distrust)
+		a.distrusted = now.Add(a.Holdoff)
 	}
 }
 
--- a/core/shifter/shifter_test.go
+++ b/core/shifter/shifter_test.go
@@ -9,16 +9,16 @@
 
 var start = time.Unix(1000, 0)
 
-func good(at time.Time) Measure {
-	return Measure{At: at, Answers: 100, There: 20 * time.Millisecond, Here: 10 * time.Millisecond}
+func good(at time.Time) Measurement {
+	return Measurement{At: at, Answers: 100, NewLatency: 20 * time.Millisecond, OldLatency: 10 * time.Millisecond}
 }
 
 func TestStages(t *testing.T) {
-	r := Ramp{Part: 50, Stages: 5}
+	r := Ramp{FinalPercent: 50, Stages: 5}
 	now := start
 	t.Run("starts with one stage", func(t *testing.T) {
 		is := is.New(t)
-		is.True(r.Step(now, Measure{}))
+		is.True(r.Step(now, Measurement{}))
 		is.Equal(r.Percent(), int64(10))
 	})
 	t.Run("waits for the stage's time", func(t *testing.T) {
@@ -51,8 +51,8 @@
 // would throw all traffic around once more for no reason.
 func TestStaleMeasureChangesNothing(t *testing.T) {
 	is := is.New(t)
-	r := Ramp{Part: 100, Stages: 4}
-	r.Step(start, Measure{})
+	r := Ramp{FinalPercent: 100, Stages: 4}
+	r.Step(start, Measurement{})
 	now := start.Add(time.Minute)
 	is.True(!r.Step(now, good(now.Add(-MeasureAge))))
 	bad := good(now.Add(-MeasureAge))
@@ -63,12 +63,12 @@
 
 func TestSlowRegionGoesBack(t *testing.T) {
 	is := is.New(t)
-	r := Ramp{Part: 100, Stages: 4}
-	r.Step(start, Measure{})
+	r := Ramp{FinalPercent: 100, Stages: 4}
+	r.Step(start, Measurement{})
 	now := start.Add(StageTime)
 	r.Step(now, good(now))
 	slow := good(now)
-	slow.There = time.Second
+	slow.NewLatency = time.Second
 	is.True(r.Step(now, slow))
 	is.Equal(r.Stage(), int64(1))
 }
--- a/entry/internal/carrier/answer.go
+++ b/entry/internal/dispatcher/answer.go
@@ -1,4 +1,4 @@
-package carrier
+package dispatcher
 
 import (
 	"fmt"
@@ -31,7 +31,7 @@
 
 func gone() result { return result{reason: "gone", gone: true} }
 
-func (c *Carrier) answer(w http.ResponseWriter, j *job, out result) {
+func (c *Dispatcher) answer(w http.ResponseWriter, j *job, out result) {
 	switch {
 	case out.gone:
 		panic(http.ErrAbortHandler)
@@ -72,12 +72,12 @@
 	if object == "" {
 		return ""
 	}
-	return hashName(placer.ObjectOf(object))
+	return hashName(placer.ObjectHash(object))
 }
 
 func hashName(object uint64) string { return strconv.FormatUint(object, 36) }
 
-func (c *Carrier) report(j *job, out result) {
+func (c *Dispatcher) report(j *job, out result) {
 	took := time.Since(j.started)
 	c.Metrics.ended(j, out, took)
 	var version uint64
--- a/entry/internal/carrier/attempt.go
+++ b/entry/internal/dispatcher/attempt.go
@@ -1,4 +1,4 @@
-package carrier
+package dispatcher
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 
 	"github.com/go-kit/log/level"
 
-	"chervilrail.example/core/gauger"
+	"chervilrail.example/core/aggregator"
 	"chervilrail.example/core/messenger"
 	"chervilrail.example/core/placer"
 	"chervilrail.example/core/quarantiner"
@@ -32,7 +32,7 @@
 )
 
 // attempts sends a request until there is a final result, and returns that with what is certain of it.
-func (c *Carrier) attempts(j *job) (result, ending) {
+func (c *Dispatcher) attempts(j *job) (result, ending) {
 	g := c.gate(j.service)
 	g.ask(j.started)
 	var tried []string
@@ -63,31 +63,31 @@
 	}
 }
 
-func (c *Carrier) ticket(j *job, g *gate, tried []string) *placer.Ticket {
+func (c *Dispatcher) ticket(j *job, g *gate, tried []string) *placer.Ticket {
 	warm, cold := c.routes.expected(j.route)
 	j.place = c.locate(j, g, cold)
 	return &placer.Ticket{
-		Host:     j.place.Target,
-		WarmAt:   j.place.WarmAt,
-		First:    j.place.First,
-		Key:      j.object,
-		Rank:     j.organisation.GetPriority(),
-		Priority: j.route.GetPriority(),
-		Aim:      j.started.Add(time.Duration(j.route.GetAim())),
-		Deadline: j.deadline,
-		Warm:     warm,
-		Cold:     cold,
-		Tried:    tried,
-		Regions:  j.regions,
-		Decided:  make(chan placer.Decision, 1),
+		Host:           j.place.Target,
+		WarmAt:         j.place.WarmAt,
+		FirstRun:       j.place.FirstRun,
+		Key:            j.object,
+		CallerPriority: j.organisation.GetPriority(),
+		Priority:       j.route.GetPriority(),
+		SoftDeadline:   j.started.Add(time.Duration(j.route.GetAim())),
+		Deadline:       j.deadline,
+		WarmTime:       warm,
+		ColdTime:       cold,
+		Tried:          tried,
+		Regions:        j.regions,
+		Decided:        make(chan placer.Decision, 1),
 	}
 }
 
 // locate finds the target that keeps the request's object warm.
-func (c *Carrier) locate(j *job, g *gate, cold time.Duration) placer.Place {
+func (c *Dispatcher) locate(j *job, g *gate, cold time.Duration) placer.Assignment {
 	j.object = j.objectName()
 	if j.object == "" {
-		return placer.Place{}
+		return placer.Assignment{}
 	}
 	started := time.Now()
 	if place, ok := g.known(started, j.object, j.regions); ok {
@@ -99,8 +99,8 @@
 			return place
 		}
 	}
-	place := c.Locator.Locate(j.request.Context(), j.view.Peers, j.service, placer.Ask{
-		Object: j.object, Route: j.route.GetName(), Hint: g.seen(j.object), Cold: cold, Regions: j.regions,
+	place := c.Locator.Locate(j.request.Context(), j.view.Peers, j.service, placer.AssignRequest{
+		Object: j.object, Route: j.route.GetName(), Hint: g.seen(j.object), ColdTime: cold, Regions: j.regions,
 	})
 	j.located = time.Since(started)
 	g.confirm(time.Now(), j.object, place)
@@ -113,7 +113,7 @@
 
 // again decides whether a request is sent once more. What may have run is repeated only if it is idempotent; what
 // reached a target is paid for, for all instances together may repeat only a part of their requests.
-func (c *Carrier) again(j *job, g *gate, end ending) bool {
+func (c *Dispatcher) again(j *job, g *gate, end ending) bool {
 	now := time.Now()
 	if !now.Before(j.deadline) || j.request.Context().Err() != nil {
 		return false
@@ -131,7 +131,7 @@
 }
 
 // attempt sends the request to one target, whose slot is already taken.
-func (c *Carrier) attempt(j *job, g *gate, d placer.Decision) (result, ending) {
+func (c *Dispatcher) attempt(j *job, g *gate, d placer.Decision) (result, ending) {
 	t := d.Target
 	// Where a request goes that its object's host has no room for says nothing of the next one.
 	if j.place.Target == "" || j.place.Target == t.Name {
@@ -151,18 +151,18 @@
 	out, end := c.judge(j, answer, how)
 	outcome := placer.Outcome{Failed: end != answered}
 	if how == pooler.Answered {
-		outcome.Load = c.Face.Reply(answer.Status, answer.Header).Load
+		outcome.Load = c.Codec.Reply(answer.Status, answer.Header).Load
 		j.load = outcome.Load
 		c.observe(t, outcome.Load)
 	}
 	if end == answered {
-		outcome.Took = time.Since(start)
+		outcome.ResponseTime = time.Since(start)
 		if t.Region != c.Region {
-			outcome.Took = max(0, outcome.Took-far)
+			outcome.ResponseTime = max(0, outcome.ResponseTime-far)
 		}
-		outcome.Usual = c.routes.usual(j.route, outcome.Took)
+		outcome.ExpectedTime = c.routes.usual(j.route, outcome.ResponseTime)
 		outcome.Failed = answer.Status >= http.StatusInternalServerError
-		c.routes.worked(j.route, outcome.Took)
+		c.routes.worked(j.route, outcome.ResponseTime)
 		c.clear(start, j)
 	}
 	if err != nil {
@@ -174,9 +174,9 @@
 }
 
 // observe passes on what a target reported of its load.
-func (c *Carrier) observe(t *placer.Target, l *messenger.Load) {
+func (c *Dispatcher) observe(t *placer.Target, l *messenger.Load) {
 	if load, ok := l.PerSlot(); ok {
-		c.Views.Observe(gauger.Reading{Target: gauger.Key(t.Name), PerSlot: load})
+		c.Views.Observe(aggregator.Reading{Target: aggregator.Key(t.Name), PerSlot: load})
 	}
 }
 
@@ -190,11 +190,11 @@
 	return context.WithDeadline(ctx, j.deadline.Add(answerMargin))
 }
 
-func (c *Carrier) outgoing(j *job, t *placer.Target, now time.Time) *pooler.Request {
+func (c *Dispatcher) outgoing(j *job, t *placer.Target, now time.Time) *pooler.Request {
 	header := j.request.Header.Clone()
 	messenger.RemoveHop(header)
 	header.Del("Content-Length")
-	c.Face.Address(header, messenger.Addressee{
+	c.Codec.Address(header, messenger.Addressee{
 		Target: t.Name, Organisation: j.organisation.GetName(), Deadline: j.deadline,
 	}, now)
 	return &pooler.Request{
@@ -203,12 +203,12 @@
 		Host:   j.request.Host,
 		Header: header,
 		Body:   j.body,
-		Mine:   func(h http.Header) bool { return c.Face.Reply(http.StatusOK, h).ID == j.call.ID },
+		Mine:   func(h http.Header) bool { return c.Codec.Reply(http.StatusOK, h).ID == j.call.ID },
 	}
 }
 
 // judge decides what an answer is worth.
-func (c *Carrier) judge(j *job, a *pooler.Answer, how pooler.Ending) (result, ending) {
+func (c *Dispatcher) judge(j *job, a *pooler.Answer, how pooler.Ending) (result, ending) {
 	switch how {
 	case pooler.Unsent:
 		return result{}, unsent
@@ -216,7 +216,7 @@
 		return result{}, unknown
 	case pooler.Answered:
 	}
-	reply := c.Face.Reply(a.Status, a.Header)
+	reply := c.Codec.Reply(a.Status, a.Header)
 	if reply.Unrun {
 		return result{}, unrun
 	}
@@ -242,7 +242,7 @@
 }
 
 // clear takes a request that succeeded off all instances' lists of suspects.
-func (c *Carrier) clear(now time.Time, j *job) {
+func (c *Dispatcher) clear(now time.Time, j *job) {
 	if c.Quarantine.Succeed(now, j.fingerprint) {
 		c.Views.Report(&wire.Loss{Fingerprint: j.fingerprint[:], Success: true, Incarnation: rand.Uint64()})
 	}
@@ -267,7 +267,7 @@
 }
 
 // noteLoss remembers what a broken attempt tells of its target, and of its request.
-func (c *Carrier) noteLoss(j *job, t *placer.Target, l loss) {
+func (c *Dispatcher) noteLoss(j *job, t *placer.Target, l loss) {
 	_ = level.Info(c.Logger).Log("msg", "attempt failed", "id", j.call.ID, "target", t.Name, "zone", t.Zone,
 		"sent", l.how != pooler.Unsent, "late", l.late, "took", l.took, "held", l.held(), "err", l.err)
 	if l.held() > 0 {
@@ -288,7 +288,7 @@
 const retryPause = 100 * time.Millisecond
 
 // giveUp words the final answer of a request that no target answered.
-func (c *Carrier) giveUp(j *job, end ending) result {
+func (c *Dispatcher) giveUp(j *job, end ending) result {
 	now := time.Now()
 	if end != unknown {
 		return refuse(http.StatusServiceUnavailable, "failed", now.Add(retryPause))
--- a/entry/internal/forwarder/pacer_test.go
+++ b/entry/internal/forwarder/pacer_test.go
@@ -19,7 +19,7 @@
 	is := is.New(t)
 	const share = 96 << 10
 	h := &granter.Holder{}
-	h.Watch(time.Now(), []string{"link:a:b", "link:b:a"})
+	h.SetResources(time.Now(), []string{"link:a:b", "link:b:a"})
 	sequence, _ := h.Request(time.Now())
 	is.True(h.Accept(time.Now(), sequence, time.Minute, []*wire.Grant{{Resource: "link:a:b", Share: share}}))
 	local, remote := net.Pipe()
@@ -32,5 +32,5 @@
 	got, err := io.ReadAll(remote)
 	is.NoErr(err)
 	is.True(bytes.Equal(got, sent))
-	is.True(h.Room(time.Now(), "link:a:b") < share) // the bytes were taken from the share
+	is.True(h.Available(time.Now(), "link:a:b") < share) // the bytes were taken from the share
 }
--- a/entry/internal/forwarder/ramps.go
+++ b/entry/internal/forwarder/ramps.go
@@ -87,14 +87,14 @@
 		if !ok {
 			o = &ramp{}
 		}
-		o.Part, o.Stages = s.Part, s.Stages
+		o.FinalPercent, o.Stages = s.Part, s.Stages
 		destination, source := r.region(s.To), r.region(s.From)
-		changed := o.Step(now, shifter.Measure{
-			At:       destination.at,
-			Answers:  destination.answers - o.answers,
-			Failures: destination.failures - o.failures,
-			There:    destination.smoothed,
-			Here:     source.smoothed,
+		changed := o.Step(now, shifter.Measurement{
+			At:         destination.at,
+			Answers:    destination.answers - o.answers,
+			Failures:   destination.failures - o.failures,
+			NewLatency: destination.smoothed,
+			OldLatency: source.smoothed,
 		})
 		if changed {
 			o.answers, o.failures = destination.answers, destination.failures
--- a/entry/internal/locator/locator.go
+++ b/entry/internal/locator/locator.go
@@ -14,9 +14,9 @@
 	"github.com/go-kit/log"
 	"github.com/go-kit/log/level"
 
-	"chervilrail.example/core/dealer"
 	"chervilrail.example/core/dialer"
 	"chervilrail.example/core/kernel"
+	"chervilrail.example/core/partitioner"
 	"chervilrail.example/core/placer"
 	"chervilrail.example/core/wire"
 	"chervilrail.example/core/wire/wireconnect"
@@ -44,7 +44,7 @@
 
 // Assigner assigns targets to the objects that this instance owns.
 type Assigner interface {
-	Assign(now time.Time, service string, ask placer.Ask) placer.Place
+	Assign(now time.Time, service string, ask placer.AssignRequest) placer.Assignment
 }
 
 // Spender counts requests of organisations whose parts of quotas this instance holds for its region.
@@ -108,7 +108,7 @@
 		if p.Name != l.Self && now.Before(l.excludedUntil[p.Name]) {
 			continue
 		}
-		if w := dealer.Weight(key, p.Name); w > highest {
+		if w := partitioner.Weight(key, p.Name); w > highest {
 			best, highest = p, w
 		}
 	}
@@ -117,10 +117,10 @@
 
 // Locate returns the target for a request for an object. An owner that does not answer is excluded for exclusionTime;
 // the next owner continues with the hints in the requests of other instances.
-func (l *Locator) Locate(ctx context.Context, peers []Peer, service string, ask placer.Ask) placer.Place {
+func (l *Locator) Locate(ctx context.Context, peers []Peer, service string, ask placer.AssignRequest) placer.Assignment {
 	for range 2 {
 		now := time.Now()
-		owner := l.owner(now, peers, placer.ObjectOf(ask.Object))
+		owner := l.owner(now, peers, placer.ObjectHash(ask.Object))
 		if owner.Name == l.Self {
 			break
 		}
@@ -129,7 +129,7 @@
 			return place
 		}
 		if ctx.Err() != nil {
-			return placer.Place{}
+			return placer.Assignment{}
 		}
 		l.exclude(now, owner, err)
 	}
@@ -148,17 +148,17 @@
 		"err", err)
 }
 
-func (l *Locator) call(ctx context.Context, owner Peer, service string, ask placer.Ask) (placer.Place, error) {
+func (l *Locator) call(ctx context.Context, owner Peer, service string, ask placer.AssignRequest) (placer.Assignment, error) {
 	ctx, cancel := context.WithTimeout(ctx, answerTimeout)
 	defer cancel()
 	client := wireconnect.NewPlacementClient(l.client, l.Dialer.URL(owner.Address))
 	response, err := client.Place(ctx, connect.NewRequest(&wire.PlaceRequest{
-		Service: service, Object: ask.Object, Route: ask.Route, Hint: ask.Hint, Cold: int64(ask.Cold), Regions: ask.Regions,
+		Service: service, Object: ask.Object, Route: ask.Route, Hint: ask.Hint, Cold: int64(ask.ColdTime), Regions: ask.Regions,
 	}))
 	if err != nil {
-		return placer.Place{}, err
+		return placer.Assignment{}, err
 	}
-	place := placer.Place{Target: response.Msg.GetTarget(), Reason: owner.Name, First: response.Msg.GetFirst()}
+	place := placer.Assignment{Target: response.Msg.GetTarget(), Reason: owner.Name, FirstRun: response.Msg.GetFirst()}
 	if warming := time.Duration(response.Msg.GetWarming()); warming > 0 {
 		place.WarmAt = time.Now().Add(warming)
 	}
@@ -170,12 +170,12 @@
 	_ context.Context, r *connect.Request[wire.PlaceRequest],
 ) (*connect.Response[wire.PlaceResponse], error) {
 	now := time.Now()
-	place := l.Assigner.Assign(now, r.Msg.GetService(), placer.Ask{
-		Object: r.Msg.GetObject(), Route: r.Msg.GetRoute(), Hint: r.Msg.GetHint(), Cold: time.Duration(r.Msg.GetCold()),
+	place := l.Assigner.Assign(now, r.Msg.GetService(), placer.AssignRequest{
+		Object: r.Msg.GetObject(), Route: r.Msg.GetRoute(), Hint: r.Msg.GetHint(), ColdTime: time.Duration(r.Msg.GetCold()),
 		Regions: r.Msg.GetRegions(),
 	})
 	return connect.NewResponse(&wire.PlaceResponse{
-		Target: place.Target, First: place.First, Warming: int64(warming(now, place)),
+		Target: place.Target, First: place.FirstRun, Warming: int64(warming(now, place)),
 	}), nil
 }
 
@@ -202,7 +202,7 @@
 	return connect.NewResponse(l.Spender.Spend(ctx, r.Msg)), nil
 }
 
-func warming(now time.Time, place placer.Place) time.Duration {
+func warming(now time.Time, place placer.Assignment) time.Duration {
 	if place.WarmAt.IsZero() {
 		return 0
 	}
--- a/entry/internal/locator/locator_test.go
+++ b/entry/internal/locator/locator_test.go
@@ -25,14 +25,14 @@
 	mu     sync.Mutex
 	target string
 	warmAt time.Time
-	asked  []placer.Ask
+	asked  []placer.AssignRequest
 }
 
-func (b *fakeAssigner) Assign(_ time.Time, _ string, ask placer.Ask) placer.Place {
+func (b *fakeAssigner) Assign(_ time.Time, _ string, ask placer.AssignRequest) placer.Assignment {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.asked = append(b.asked, ask)
-	return placer.Place{Target: b.target, WarmAt: b.warmAt}
+	return placer.Assignment{Target: b.target, WarmAt: b.warmAt}
 }
 
 func startLocator(t *testing.T, name string, b *fakeAssigner) *Locator {
@@ -53,7 +53,7 @@
 // objectOf returns an object that an instance owns.
 func objectOf(l *Locator, peers []Peer, owner string) string {
 	for i := 0; ; i++ {
-		if object := fmt.Sprint(i); l.owner(time.Now(), peers, placer.ObjectOf(object)).Name == owner {
+		if object := fmt.Sprint(i); l.owner(time.Now(), peers, placer.ObjectHash(object)).Name == owner {
 			return object
 		}
 	}
@@ -67,12 +67,12 @@
 	a, b := startLocator(t, "a", one), startLocator(t, "b", two)
 	peers := []Peer{{"a", serve(t, a.Handler())}, {"b", serve(t, b.Handler())}}
 	for _, owner := range []string{"a", "b"} {
-		ask := placer.Ask{Object: objectOf(a, peers, owner), Route: "r", Hint: "h", Cold: time.Second, Regions: []string{"x"}}
+		ask := placer.AssignRequest{Object: objectOf(a, peers, owner), Route: "r", Hint: "h", ColdTime: time.Second, Regions: []string{"x"}}
 		first, second := a.Locate(t.Context(), peers, "s", ask), b.Locate(t.Context(), peers, "s", ask)
 		is.Equal(first.Target, second.Target)
 		is.Equal(first.WarmAt.IsZero(), second.WarmAt.IsZero())
 		is.Equal(first.Target, map[string]string{"a": "t1", "b": "t2"}[owner])
-		is.True(a.Owns(peers, placer.ObjectOf(ask.Object)) == (owner == "a"))
+		is.True(a.Owns(peers, placer.ObjectHash(ask.Object)) == (owner == "a"))
 	}
 	is.Equal(one.asked[0], one.asked[1])
 	is.Equal(two.asked[0].Regions, []string{"x"})
@@ -91,11 +91,11 @@
 	object := objectOf(l, peers, "silent")
 	start := time.Now()
 	for range 20 {
-		is.Equal(l.Locate(t.Context(), peers, "s", placer.Ask{Object: object, Hint: "t9"}).Target, "t1")
+		is.Equal(l.Locate(t.Context(), peers, "s", placer.AssignRequest{Object: object, Hint: "t9"}).Target, "t1")
 	}
 	is.True(time.Since(start) < exclusionTime)
 	is.Equal(b.asked[0].Hint, "t9")
-	is.True(l.Owns(peers, placer.ObjectOf(object)))
+	is.True(l.Owns(peers, placer.ObjectHash(object)))
 }
 
 // Guards against requests that fail because the owner can't be reached: an instance may be known before it serves its
@@ -105,9 +105,9 @@
 	l := startLocator(t, "a", &fakeAssigner{target: "t1"})
 	peers := []Peer{{"a", netip.AddrPort{}}, {"closed", netip.MustParseAddrPort("127.0.0.1:1")}}
 	object := objectOf(l, peers, "closed")
-	is.Equal(l.Locate(t.Context(), peers, "s", placer.Ask{Object: object}).Target, "t1")
+	is.Equal(l.Locate(t.Context(), peers, "s", placer.AssignRequest{Object: object}).Target, "t1")
 	t.Run("alone", func(t *testing.T) {
-		is.New(t).Equal(l.Locate(t.Context(), nil, "s", placer.Ask{Object: object}).Target, "t1")
+		is.New(t).Equal(l.Locate(t.Context(), nil, "s", placer.AssignRequest{Object: object}).Target, "t1")
 	})
 }
 
@@ -122,7 +122,7 @@
 			l := startLocator(t, "a", &fakeAssigner{})
 			peers := []Peer{{"a", netip.AddrPort{}}, {"slow", serve(t, hanging)}}
 			t.Cleanup(func() { close(release) })
-			object := placer.ObjectOf(objectOf(l, peers, "slow"))
+			object := placer.ObjectHash(objectOf(l, peers, "slow"))
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
 			if cancelled {
