--- a/entry/internal/forwarder/attempt.go
+++ b/entry/internal/forwarder/attempt.go
@@ -156,8 +156,8 @@
 	return context.WithDeadline(ctx, j.deadline)
 }
 
-// reserveTarget reserves a slot at a target in a region whose cap has room. While all slots are taken, it searches again
-// until placeTimeout or the caller's deadline has passed.
+// reserveTarget reserves a slot at a target in a region whose cap has room. While all slots are taken, it searches
+// again until placeTimeout or the caller's deadline has passed.
 func (f *Forwarder) reserveTarget(j *job, d *admission, tried []*balancer.Target) (*balancer.Target, *refuser.Refusal) {
 	giveUpAt := time.Now().Add(placeTimeout)
 	if !j.deadline.IsZero() && j.deadline.Before(giveUpAt) {
--- a/entry/internal/locator/locator.go
+++ b/entry/internal/locator/locator.go
@@ -44,7 +44,7 @@
 
 // Assigner assigns targets to the objects that this instance owns.
 type Assigner interface {
-	Assign(now time.Time, service string, ask placer.AssignRequest) placer.Assignment
+	Assign(now time.Time, service string, request placer.AssignRequest) placer.Assignment
 }
 
 // Spender counts requests of organisations whose parts of quotas this instance holds for its region.
@@ -117,23 +117,25 @@
 
 // Locate returns the target for a request for an object. An owner that does not answer is excluded for exclusionTime;
 // the next owner continues with the hints in the requests of other instances.
-func (l *Locator) Locate(ctx context.Context, peers []Peer, service string, ask placer.AssignRequest) placer.Assignment {
+func (l *Locator) Locate(
+	ctx context.Context, peers []Peer, service string, request placer.AssignRequest,
+) placer.Assignment {
 	for range 2 {
 		now := time.Now()
-		owner := l.owner(now, peers, placer.ObjectHash(ask.Object))
+		owner := l.owner(now, peers, placer.ObjectHash(request.Object))
 		if owner.Name == l.Self {
 			break
 		}
-		place, err := l.call(ctx, owner, service, ask)
+		assignment, err := l.call(ctx, owner, service, request)
 		if err == nil {
-			return place
+			return assignment
 		}
 		if ctx.Err() != nil {
 			return placer.Assignment{}
 		}
 		l.exclude(now, owner, err)
 	}
-	return l.Assigner.Assign(time.Now(), service, ask)
+	return l.Assigner.Assign(time.Now(), service, request)
 }
 
 func (l *Locator) exclude(now time.Time, owner Peer, err error) {
@@ -148,21 +150,26 @@
 		"err", err)
 }
 
-func (l *Locator) call(ctx context.Context, owner Peer, service string, ask placer.AssignRequest) (placer.Assignment, error) {
+func (l *Locator) call(
+	ctx context.Context, owner Peer, service string, request placer.AssignRequest,
+) (placer.Assignment, error) {
 	ctx, cancel := context.WithTimeout(ctx, answerTimeout)
 	defer cancel()
 	client := wireconnect.NewPlacementClient(l.client, l.Dialer.URL(owner.Address))
 	response, err := client.Place(ctx, connect.NewRequest(&wire.PlaceRequest{
-		Service: service, Object: ask.Object, Route: ask.Route, Hint: ask.Hint, Cold: int64(ask.ColdTime), Regions: ask.Regions,
+		Service: service, Object: request.Object, Route: request.Route, Hint: request.Hint,
+		Cold: int64(request.ColdTime), Regions: request.Regions,
 	}))
 	if err != nil {
 		return placer.Assignment{}, err
 	}
-	place := placer.Assignment{Target: response.Msg.GetTarget(), Reason: owner.Name, FirstRun: response.Msg.GetFirst()}
+	assignment := placer.Assignment{
+		Target: response.Msg.GetTarget(), Reason: owner.Name, FirstRun: response.Msg.GetFirst(),
+	}
 	if warming := time.Duration(response.Msg.GetWarming()); warming > 0 {
-		place.WarmAt = time.Now().Add(warming)
+		assignment.WarmAt = time.Now().Add(warming)
 	}
-	return place, nil
+	return assignment, nil
 }
 
 // Place implements the call by which another instance asks for an object's target.
@@ -170,12 +177,12 @@
 	_ context.Context, r *connect.Request[wire.PlaceRequest],
 ) (*connect.Response[wire.PlaceResponse], error) {
 	now := time.Now()
-	place := l.Assigner.Assign(now, r.Msg.GetService(), placer.AssignRequest{
+	assignment := l.Assigner.Assign(now, r.Msg.GetService(), placer.AssignRequest{
 		Object: r.Msg.GetObject(), Route: r.Msg.GetRoute(), Hint: r.Msg.GetHint(), ColdTime: time.Duration(r.Msg.GetCold()),
 		Regions: r.Msg.GetRegions(),
 	})
 	return connect.NewResponse(&wire.PlaceResponse{
-		Target: place.Target, First: place.FirstRun, Warming: int64(warming(now, place)),
+		Target: assignment.Target, First: assignment.FirstRun, Warming: int64(warming(now, assignment)),
 	}), nil
 }
 
@@ -202,11 +209,11 @@
 	return connect.NewResponse(l.Spender.Spend(ctx, r.Msg)), nil
 }
 
-func warming(now time.Time, place placer.Assignment) time.Duration {
-	if place.WarmAt.IsZero() {
+func warming(now time.Time, assignment placer.Assignment) time.Duration {
+	if assignment.WarmAt.IsZero() {
 		return 0
 	}
-	return max(0, place.WarmAt.Sub(now))
+	return max(0, assignment.WarmAt.Sub(now))
 }
 
 // Handler returns the handler for calls of other instances.
--- a/entry/internal/locator/locator_test.go
+++ b/entry/internal/locator/locator_test.go
@@ -22,16 +22,16 @@
 
 // fakeAssigner assigns the same target to every object, and records what it was asked.
 type fakeAssigner struct {
-	mu     sync.Mutex
-	target string
-	warmAt time.Time
-	asked  []placer.AssignRequest
+	mu       sync.Mutex
+	target   string
+	warmAt   time.Time
+	requests []placer.AssignRequest
 }
 
-func (b *fakeAssigner) Assign(_ time.Time, _ string, ask placer.AssignRequest) placer.Assignment {
+func (b *fakeAssigner) Assign(_ time.Time, _ string, request placer.AssignRequest) placer.Assignment {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.asked = append(b.asked, ask)
+	b.requests = append(b.requests, request)
 	return placer.Assignment{Target: b.target, WarmAt: b.warmAt}
 }
 
@@ -50,8 +50,8 @@
 	return netip.MustParseAddrPort(strings.TrimPrefix(server.URL, "http://"))
 }
 
-// objectOf returns an object that an instance owns.
-func objectOf(l *Locator, peers []Peer, owner string) string {
+// objectOwnedBy returns an object that an instance owns.
+func objectOwnedBy(l *Locator, peers []Peer, owner string) string {
 	for i := 0; ; i++ {
 		if object := fmt.Sprint(i); l.owner(time.Now(), peers, placer.ObjectHash(object)).Name == owner {
 			return object
@@ -67,15 +67,17 @@
 	a, b := startLocator(t, "a", one), startLocator(t, "b", two)
 	peers := []Peer{{"a", serve(t, a.Handler())}, {"b", serve(t, b.Handler())}}
 	for _, owner := range []string{"a", "b"} {
-		ask := placer.AssignRequest{Object: objectOf(a, peers, owner), Route: "r", Hint: "h", ColdTime: time.Second, Regions: []string{"x"}}
-		first, second := a.Locate(t.Context(), peers, "s", ask), b.Locate(t.Context(), peers, "s", ask)
+		request := placer.AssignRequest{
+			Object: objectOwnedBy(a, peers, owner), Route: "r", Hint: "h", ColdTime: time.Second, Regions: []string{"x"},
+		}
+		first, second := a.Locate(t.Context(), peers, "s", request), b.Locate(t.Context(), peers, "s", request)
 		is.Equal(first.Target, second.Target)
 		is.Equal(first.WarmAt.IsZero(), second.WarmAt.IsZero())
 		is.Equal(first.Target, map[string]string{"a": "t1", "b": "t2"}[owner])
-		is.True(a.Owns(peers, placer.ObjectHash(ask.Object)) == (owner == "a"))
+		is.True(a.Owns(peers, placer.ObjectHash(request.Object)) == (owner == "a"))
 	}
-	is.Equal(one.asked[0], one.asked[1])
-	is.Equal(two.asked[0].Regions, []string{"x"})
+	is.Equal(one.requests[0], one.requests[1])
+	is.Equal(two.requests[0].Regions, []string{"x"})
 }
 
 // Guards against requests that all wait for an owner that hangs. It is excluded after the first request, and another
@@ -88,13 +90,13 @@
 	l := startLocator(t, "a", b)
 	peers := []Peer{{"a", netip.AddrPort{}}, {"silent", serve(t, hanging)}}
 	t.Cleanup(func() { close(release) })
-	object := objectOf(l, peers, "silent")
+	object := objectOwnedBy(l, peers, "silent")
 	start := time.Now()
 	for range 20 {
 		is.Equal(l.Locate(t.Context(), peers, "s", placer.AssignRequest{Object: object, Hint: "t9"}).Target, "t1")
 	}
 	is.True(time.Since(start) < exclusionTime)
-	is.Equal(b.asked[0].Hint, "t9")
+	is.Equal(b.requests[0].Hint, "t9")
 	is.True(l.Owns(peers, placer.ObjectHash(object)))
 }
 
@@ -104,7 +106,7 @@
 	is := is.New(t)
 	l := startLocator(t, "a", &fakeAssigner{target: "t1"})
 	peers := []Peer{{"a", netip.AddrPort{}}, {"closed", netip.MustParseAddrPort("127.0.0.1:1")}}
-	object := objectOf(l, peers, "closed")
+	object := objectOwnedBy(l, peers, "closed")
 	is.Equal(l.Locate(t.Context(), peers, "s", placer.AssignRequest{Object: object}).Target, "t1")
 	t.Run("alone", func(t *testing.T) {
 		is.New(t).Equal(l.Locate(t.Context(), nil, "s", placer.AssignRequest{Object: object}).Target, "t1")
@@ -122,7 +124,7 @@
 			l := startLocator(t, "a", &fakeAssigner{})
 			peers := []Peer{{"a", netip.AddrPort{}}, {"slow", serve(t, hanging)}}
 			t.Cleanup(func() { close(release) })
-			object := placer.ObjectHash(objectOf(l, peers, "slow"))
+			object := placer.ObjectHash(objectOwnedBy(l, peers, "slow"))
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
 			if cancelled {
