--- a/entry/internal/forwarder/pacer.go
+++ b/entry/internal/forwarder/pacer.go
@@ -8,16 +8,16 @@
 )
 
 const (
-	// chunk is how much is sent or received on one permission.
-	chunk = 16 << 10
-	// paceTick is how soon permission is asked for again.
-	paceTick = 5 * time.Millisecond
-	// bulkReserve is the room that uploads leave on a link, in chunks, for what is urgent.
+	// chunkSize is the number of bytes that are sent or received at once, after each check of the share.
+	chunkSize = 16 << 10
+	// paceInterval is the time between checks of a share that is used up.
+	paceInterval = 5 * time.Millisecond
+	// bulkReserve is the capacity, in chunks, that uploads leave free on a link for more urgent requests.
 	bulkReserve = 4
 )
 
-// pacedConn keeps a connection between regions within this instance's share of the link. A transfer that
-// is past the share slows down; it does not fail.
+// pacedConn keeps the traffic of a connection between regions within this instance's share of the link. A transfer that
+// exceeds the share slows down; it does not fail.
 type pacedConn struct {
 	net.Conn
 	holder *granter.Holder
@@ -29,7 +29,7 @@
 func (c *pacedConn) Write(p []byte) (int, error) {
 	written := 0
 	for written < len(p) {
-		part := p[written:min(len(p), written+chunk)]
+		part := p[written:min(len(p), written+chunkSize)]
 		if err := c.await(c.out, int64(len(part))); err != nil {
 			return written, err
 		}
@@ -42,10 +42,10 @@
 	return written, nil
 }
 
-// Read asks for permission after the bytes came: how many there are is not known before. The kernel's
-// buffers bound what a sender can be ahead of that.
+// Read takes the bytes from the share after they have arrived, because their number is not known before. The receive
+// buffers of the operating system bound how far a sender can get ahead.
 func (c *pacedConn) Read(p []byte) (int, error) {
-	n, err := c.Conn.Read(p[:min(len(p), chunk)])
+	n, err := c.Conn.Read(p[:min(len(p), chunkSize)])
 	if n > 0 {
 		if paceErr := c.await(c.in, int64(n)); paceErr != nil {
 			return n, paceErr
@@ -54,23 +54,23 @@
 	return n, err
 }
 
-// await blocks until the share allows n bytes. Only a share that stays empty for as long as any transfer
-// may stall ends it: the instance has lost its lease then.
+// await blocks until the share allows n bytes. It fails only if the share stays used up for stallTimeout, which means
+// that the instance has lost its lease.
 func (c *pacedConn) await(resource string, n int64) error {
-	limit := time.Now().Add(stall)
+	deadline := time.Now().Add(stallTimeout)
 	for {
 		now := time.Now()
 		c.holder.Demand(now, resource, n)
 		if c.allowed(now, resource, n) && c.holder.Take(now, resource, n) {
 			return nil
 		}
-		if now.After(limit) {
+		if now.After(deadline) {
 			return &PaceError{Resource: resource}
 		}
-		time.Sleep(paceTick)
+		time.Sleep(paceInterval)
 	}
 }
 
 func (c *pacedConn) allowed(now time.Time, resource string, n int64) bool {
-	return !c.bulk || c.holder.Available(now, resource) >= min(n+bulkReserve*chunk, c.holder.Limit(now, resource)/2)
+	return !c.bulk || c.holder.Available(now, resource) >= min(n+bulkReserve*chunkSize, c.holder.Limit(now, resource)/2)
 }
--- a/entry/internal/locator/locator.go
+++ b/entry/internal/locator/locator.go
@@ -1,5 +1,5 @@
-// Package locator finds the target that keeps an object warm. For each object one entry instance of the region answers,
-// the same one for all that ask, so that they agree at once and each object runs cold once.
+// Package locator finds the target at which an object is warm. One entry instance of the region, the owner, answers for
+// each object. All instances ask the same owner, so that they agree at once and each object has only one cold run.
 package locator
 
 import (
@@ -23,15 +23,17 @@
 )
 
 const (
-	// answerTimeout is many times what an instance of the same region takes to answer. One that takes longer is frozen
-	// or cut off, and the request has better use for its time.
+	// answerTimeout is many times the usual response time of an instance of the same region. An instance that takes
+	// longer is frozen or unreachable, and the request does not wait for it.
 	answerTimeout = 100 * time.Millisecond
-	// spendTimeout is the same where the other instance may have to ask a controller first; it answers within SpendWithin.
+	// spendTimeout is the timeout where the other instance may have to call a controller first; it answers within
+	// MaxSpendWait.
 	spendTimeout = 350 * time.Millisecond
-	// MaxSpendWait is how long a request of another instance waits for a part of a quota; it comes again then.
+	// MaxSpendWait is how long a request of another instance waits for a part of a quota; the other instance then asks
+	// again.
 	MaxSpendWait = 150 * time.Millisecond
-	// shun is how long an instance that did not answer is not asked again. Each question to it holds up a request.
-	shun = time.Second
+	// exclusionTime is how long an instance that did not answer is not called again. Each call to it delays a request.
+	exclusionTime = time.Second
 )
 
 // Peer is an entry instance of the same region.
@@ -40,17 +42,17 @@
 	Address netip.AddrPort
 }
 
-// Assigner decides for the objects that this instance answers for.
+// Assigner assigns targets to the objects that this instance owns.
 type Assigner interface {
-	Assign(now time.Time, service string, ask placer.AssignRequest) placer.Assignment
+	Assign(now time.Time, service string, request placer.AssignRequest) placer.Assignment
 }
 
-// Spender counts requests of organisations whose parts this instance keeps for its region.
+// Spender counts requests of organisations whose parts of quotas this instance holds for its region.
 type Spender interface {
 	Spend(ctx context.Context, r *wire.SpendRequest) *wire.SpendResponse
 }
 
-// Locator asks other instances and answers them. Set the exported fields before Start.
+// Locator calls other instances and answers their calls. Set the exported fields before Start.
 type Locator struct {
 	Self     string
 	Dialer   *dialer.Dialer
@@ -60,8 +62,8 @@
 
 	client *http.Client
 
-	mu      sync.Mutex
-	shunned map[string]time.Time
+	mu            sync.Mutex
+	excludedUntil map[string]time.Time
 }
 
 // Name implements kernel.Service.
@@ -70,14 +72,14 @@
 // Health implements kernel.Service.
 func (l *Locator) Health() error { return nil }
 
-// Start makes the locator ready.
+// Start creates the HTTP client, and returns its error.
 func (l *Locator) Start(context.Context, kernel.Finder) error {
 	client, err := l.Dialer.Client()
 	if err != nil {
 		return err
 	}
 	l.client = client
-	l.shunned = map[string]time.Time{}
+	l.excludedUntil = map[string]time.Time{}
 	return nil
 }
 
@@ -89,95 +91,102 @@
 	return nil
 }
 
-// Owns reports whether this instance answers for an object, of those that are not known to be out of reach.
+// Owns reports whether this instance is an object's owner. Excluded instances own nothing.
 func (l *Locator) Owns(peers []Peer, object uint64) bool {
 	return l.Owner(peers, object).Name == l.Self
 }
 
-// Owner returns the instance that answers for an object, of those that are not known to be out of reach.
+// Owner returns an object's owner. Excluded instances own nothing.
 func (l *Locator) Owner(peers []Peer, object uint64) Peer { return l.owner(time.Now(), peers, object) }
 
-// owner returns the instance that answers for an object.
+// owner returns the owner of an object at a time: the instance with the highest weight that is not excluded.
 func (l *Locator) owner(now time.Time, peers []Peer, object uint64) Peer {
-	best, most, key := Peer{Name: l.Self}, uint64(0), strconv.FormatUint(object, 16)
+	best, highest, key := Peer{Name: l.Self}, uint64(0), strconv.FormatUint(object, 16)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, p := range peers {
-		if p.Name != l.Self && now.Before(l.shunned[p.Name]) {
+		if p.Name != l.Self && now.Before(l.excludedUntil[p.Name]) {
 			continue
 		}
-		if w := partitioner.Weight(key, p.Name); w > most {
-			best, most = p, w
+		if w := partitioner.Weight(key, p.Name); w > highest {
+			best, highest = p, w
 		}
 	}
 	return best
 }
 
-// Locate says where a request for an object goes. An instance that does not answer is left out for a while; the one that
-// comes next takes over from the hints of those who ask.
-func (l *Locator) Locate(ctx context.Context, peers []Peer, service string, ask placer.AssignRequest) placer.Assignment {
+// Locate returns the target for a request for an object. An owner that does not answer is excluded for exclusionTime;
+// the next owner continues with the hints in the requests of other instances.
+func (l *Locator) Locate(
+	ctx context.Context, peers []Peer, service string, request placer.AssignRequest,
+) placer.Assignment {
 	for range 2 {
 		now := time.Now()
-		owner := l.owner(now, peers, placer.ObjectHash(ask.Object))
+		owner := l.owner(now, peers, placer.ObjectHash(request.Object))
 		if owner.Name == l.Self {
 			break
 		}
-		place, err := l.call(ctx, owner, service, ask)
+		assignment, err := l.call(ctx, owner, service, request)
 		if err == nil {
-			return place
+			return assignment
 		}
 		if ctx.Err() != nil {
 			return placer.Assignment{}
 		}
-		l.leaveOut(now, owner, err)
+		l.exclude(now, owner, err)
 	}
-	return l.Assigner.Assign(time.Now(), service, ask)
+	return l.Assigner.Assign(time.Now(), service, request)
 }
 
-func (l *Locator) leaveOut(now time.Time, owner Peer, err error) {
+func (l *Locator) exclude(now time.Time, owner Peer, err error) {
 	l.mu.Lock()
-	known := time.Now().Before(l.shunned[owner.Name])
-	l.shunned[owner.Name] = now.Add(shun)
+	excluded := time.Now().Before(l.excludedUntil[owner.Name])
+	l.excludedUntil[owner.Name] = now.Add(exclusionTime)
 	l.mu.Unlock()
-	if known {
+	if excluded {
 		return
 	}
 	_ = level.Info(l.Logger).Log("msg", "entry instance does not answer", "peer", owner.Name, "address", owner.Address,
 		"err", err)
 }
 
-func (l *Locator) call(ctx context.Context, owner Peer, service string, ask placer.AssignRequest) (placer.Assignment, error) {
+func (l *Locator) call(
+	ctx context.Context, owner Peer, service string, request placer.AssignRequest,
+) (placer.Assignment, error) {
 	ctx, cancel := context.WithTimeout(ctx, answerTimeout)
 	defer cancel()
 	client := wireconnect.NewPlacementClient(l.client, l.Dialer.URL(owner.Address))
 	response, err := client.Place(ctx, connect.NewRequest(&wire.PlaceRequest{
-		Service: service, Object: ask.Object, Route: ask.Route, Hint: ask.Hint, Cold: int64(ask.ColdTime), Regions: ask.Regions,
+		Service: service, Object: request.Object, Route: request.Route, Hint: request.Hint,
+		Cold: int64(request.ColdTime), Regions: request.Regions,
 	}))
 	if err != nil {
 		return placer.Assignment{}, err
 	}
-	place := placer.Assignment{Target: response.Msg.GetTarget(), Reason: owner.Name, FirstRun: response.Msg.GetFirst()}
+	assignment := placer.Assignment{
+		Target: response.Msg.GetTarget(), Reason: owner.Name, FirstRun: response.Msg.GetFirst(),
+	}
 	if warming := time.Duration(response.Msg.GetWarming()); warming > 0 {
-		place.WarmAt = time.Now().Add(warming)
+		assignment.WarmAt = time.Now().Add(warming)
 	}
-	return place, nil
+	return assignment, nil
 }
 
-// Place answers another instance.
+// Place implements the call by which another instance asks for an object's target.
 func (l *Locator) Place(
 	_ context.Context, r *connect.Request[wire.PlaceRequest],
 ) (*connect.Response[wire.PlaceResponse], error) {
 	now := time.Now()
-	place := l.Assigner.Assign(now, r.Msg.GetService(), placer.AssignRequest{
+	assignment := l.Assigner.Assign(now, r.Msg.GetService(), placer.AssignRequest{
 		Object: r.Msg.GetObject(), Route: r.Msg.GetRoute(), Hint: r.Msg.GetHint(), ColdTime: time.Duration(r.Msg.GetCold()),
 		Regions: r.Msg.GetRegions(),
 	})
 	return connect.NewResponse(&wire.PlaceResponse{
-		Target: place.Target, First: place.FirstRun, Warming: int64(warming(now, place)),
+		Target: assignment.Target, First: assignment.FirstRun, Warming: int64(warming(now, assignment)),
 	}), nil
 }
 
-// Ask has another instance count a request, or take one back.
+// Ask calls another instance to count a request, or to return one that was counted.
 func (l *Locator) Ask(ctx context.Context, owner Peer, r *wire.SpendRequest) (*wire.SpendResponse, error) {
 	now := time.Now()
 	bounded, cancel := context.WithTimeout(ctx, spendTimeout)
@@ -188,26 +197,26 @@
 		return response.Msg, nil
 	}
 	if ctx.Err() == nil {
-		l.leaveOut(now, owner, err)
+		l.exclude(now, owner, err)
 	}
 	return nil, err
 }
 
-// Spend answers another instance.
+// Spend implements the call by which another instance counts a request, or returns one.
 func (l *Locator) Spend(
 	ctx context.Context, r *connect.Request[wire.SpendRequest],
 ) (*connect.Response[wire.SpendResponse], error) {
 	return connect.NewResponse(l.Spender.Spend(ctx, r.Msg)), nil
 }
 
-func warming(now time.Time, place placer.Assignment) time.Duration {
-	if place.WarmAt.IsZero() {
+func warming(now time.Time, assignment placer.Assignment) time.Duration {
+	if assignment.WarmAt.IsZero() {
 		return 0
 	}
-	return max(0, place.WarmAt.Sub(now))
+	return max(0, assignment.WarmAt.Sub(now))
 }
 
-// Handler serves the questions of other instances.
+// Handler returns the handler for calls of other instances.
 func (l *Locator) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle(wireconnect.NewPlacementHandler(l, connect.WithCompressMinBytes(dialer.CompressFrom)))
--- a/entry/internal/requester/requester.go
+++ b/entry/internal/requester/requester.go
@@ -1,4 +1,4 @@
-// Package requester calls whichever controller leads, and finds it again when that changes.
+// Package requester calls the leading controller, and finds the new leader after a change.
 package requester
 
 import (
@@ -18,13 +18,13 @@
 )
 
 const (
-	// callTimeout bounds one call, so that a frozen controller is left well within a lease.
-	callTimeout = 500 * time.Millisecond
-	claimCall   = time.Second
-	pause       = 50 * time.Millisecond
+	// callTimeout bounds one call, so that there is time within a lease to switch away from a frozen controller.
+	callTimeout      = 500 * time.Millisecond
+	claimCallTimeout = time.Second
+	retryDelay       = 50 * time.Millisecond
 )
 
-// Requester is the client service. Set the exported fields before Start.
+// Requester is the client of the controllers. Set the exported fields before Start.
 type Requester struct {
 	Dialer      *dialer.Dialer
 	Controllers []netip.AddrPort
@@ -32,14 +32,14 @@
 	client  *http.Client
 	mu      sync.Mutex
 	clients map[netip.AddrPort]wireconnect.ControlClient
-	current int
+	next    int
 	leader  netip.AddrPort
 }
 
 // Name implements kernel.Service.
 func (q *Requester) Name() string { return "requester" }
 
-// Start makes the clients.
+// Start creates the client of each controller. It fails if the HTTP client can't be created.
 func (q *Requester) Start(context.Context, kernel.Finder) error {
 	client, err := q.Dialer.Client()
 	if err != nil {
@@ -64,11 +64,12 @@
 // Health implements kernel.Service.
 func (q *Requester) Health() error { return nil }
 
-// Renew sends one heartbeat to the leader, asking every controller once at most.
+// Renew sends one heartbeat to the leader. It makes at most one call per controller, and returns the last error if all
+// fail.
 func (q *Requester) Renew(ctx context.Context, r *wire.RenewRequest) (*wire.RenewResponse, error) {
 	var last error
 	for range q.Controllers {
-		address, client := q.pick()
+		address, client := q.currentClient()
 		call, cancel := context.WithTimeout(ctx, callTimeout)
 		response, err := client.Renew(call, connect.NewRequest(r))
 		cancel()
@@ -76,16 +77,16 @@
 			return response.Msg, nil
 		}
 		last = err
-		q.turn(address, err)
+		q.switchController(address, err)
 	}
 	return nil, last
 }
 
-// Claim asks for the right to run a request, again and again until ctx ends. The request carries its own
-// token, so asking twice is harmless.
+// Claim requests the right to run a request. It retries until ctx ends and then returns an UnreachableError; only an
+// invalid claim fails immediately. Claims are idempotent, because each carries its own token.
 func (q *Requester) Claim(ctx context.Context, c *wire.Claim) (*wire.ClaimResult, error) {
 	var result *wire.ClaimResult
-	err := q.insist(ctx, func(call context.Context, client wireconnect.ControlClient) error {
+	err := q.retry(ctx, func(call context.Context, client wireconnect.ControlClient) error {
 		response, err := client.Claim(call, connect.NewRequest(&wire.ClaimRequest{Claim: c}))
 		if err != nil {
 			return err
@@ -96,57 +97,58 @@
 	return result, err
 }
 
-// Settle records how a claimed request ended, again and again until ctx ends.
+// Settle records the outcome of a claimed request. It retries until ctx ends and then returns an UnreachableError; only
+// invalid arguments fail immediately.
 func (q *Requester) Settle(ctx context.Context, s *wire.Settle) error {
-	return q.insist(ctx, func(call context.Context, client wireconnect.ControlClient) error {
+	return q.retry(ctx, func(call context.Context, client wireconnect.ControlClient) error {
 		_, err := client.Settle(call, connect.NewRequest(&wire.SettleRequest{Settle: s}))
 		return err
 	})
 }
 
-func (q *Requester) insist(
+func (q *Requester) retry(
 	ctx context.Context, run func(context.Context, wireconnect.ControlClient) error,
 ) error {
 	for {
-		address, client := q.pick()
-		call, cancel := context.WithTimeout(ctx, claimCall)
+		address, client := q.currentClient()
+		call, cancel := context.WithTimeout(ctx, claimCallTimeout)
 		err := run(call, client)
 		cancel()
 		if err == nil || connect.CodeOf(err) == connect.CodeInvalidArgument {
 			return err
 		}
-		q.turn(address, err)
+		q.switchController(address, err)
 		select {
 		case <-ctx.Done():
 			return &UnreachableError{Cause: err}
-		case <-time.After(pause):
+		case <-time.After(retryDelay):
 		}
 	}
 }
 
-func (q *Requester) pick() (netip.AddrPort, wireconnect.ControlClient) {
+func (q *Requester) currentClient() (netip.AddrPort, wireconnect.ControlClient) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if client, ok := q.clients[q.leader]; ok {
 		return q.leader, client
 	}
-	address := q.Controllers[q.current%len(q.Controllers)]
+	address := q.Controllers[q.next%len(q.Controllers)]
 	return address, q.clients[address]
 }
 
-// turn goes to the leader that a refusal names, or else to the next controller.
-func (q *Requester) turn(asked netip.AddrPort, err error) {
+// switchController switches to the leader that err reports, or else to the next controller.
+func (q *Requester) switchController(asked netip.AddrPort, err error) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	named := leaderOf(err)
-	if named.IsValid() && named != asked {
-		q.leader = named
+	reported := leaderOf(err)
+	if reported.IsValid() && reported != asked {
+		q.leader = reported
 		return
 	}
 	if q.leader == asked {
 		q.leader = netip.AddrPort{}
 	}
-	q.current++
+	q.next++
 }
 
 func leaderOf(err error) netip.AddrPort {
@@ -167,7 +169,7 @@
 	return netip.AddrPort{}
 }
 
-// UnreachableError says that no leading controller answered in time.
+// UnreachableError reports that no leading controller answered in time.
 type UnreachableError struct {
 	Cause error
 }
--- a/entry/internal/resolver/resolver.go
+++ b/entry/internal/resolver/resolver.go
@@ -1,4 +1,4 @@
-// Package resolver answers look-ups: which entry instances a caller should use.
+// Package resolver answers look-ups: it tells callers which entry instances to use.
 package resolver
 
 import (
@@ -15,9 +15,9 @@
 	"chervilrail.example/entry/internal/refuser"
 )
 
-const stampSize = 256
+const answerSize = 256
 
-// Views gives the newest view of the control state.
+// Views provides the current view of the control state.
 type Views interface {
 	View() *directory.View
 	Confirmed(now time.Time) bool
@@ -28,14 +28,14 @@
 type Handler struct {
 	Views  Views
 	Region string
-	// MaxAge is how long callers may keep an answer.
+	// MaxAge is how long callers may cache an answer.
 	MaxAge time.Duration
 	Logger log.Logger
 	Count  func(result string)
 }
 
-// ServeHTTP implements http.Handler. The query names the service, and the client's address where it is
-// not the caller's own.
+// ServeHTTP implements http.Handler. The query names the service, and the client's IP address if it differs from the
+// caller's.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	now := time.Now()
 	view := h.Views.View()
@@ -49,7 +49,7 @@
 		h.refuse(w, now, http.StatusNotFound, "unknown service "+strconv.Quote(service), time.Time{})
 		return
 	}
-	client, err := clientOf(query.Get("client"), r.RemoteAddr)
+	client, err := clientAddress(query.Get("client"), r.RemoteAddr)
 	if err != nil {
 		h.refuse(w, now, http.StatusBadRequest, "client: expected an IP number", time.Time{})
 		return
@@ -57,7 +57,7 @@
 	h.answer(w, now, view, service, client)
 }
 
-func clientOf(named, remote string) (netip.Addr, error) {
+func clientAddress(named, remote string) (netip.Addr, error) {
 	if named != "" {
 		return netip.ParseAddr(named)
 	}
@@ -78,7 +78,7 @@
 		h.refuse(w, now, http.StatusServiceUnavailable, "no entry instance", h.Views.RetryAt(now))
 		return
 	}
-	body := Append(make([]byte, 0, stampSize), now.Add(h.MaxAge), region, chosen[:count])
+	body := Append(make([]byte, 0, answerSize), now.Add(h.MaxAge), region, chosen[:count])
 	header := w.Header()
 	header.Set("Content-Type", "application/json")
 	header.Set("Cache-Control", "max-age="+strconv.FormatInt(int64(h.MaxAge/time.Second), 10))
@@ -88,8 +88,8 @@
 		"entry", chosen[0].Name, "number", view.Number)
 }
 
-// Append writes an answer as JSON. It is written by hand because a look-up may not allocate per entry;
-// names hold only letters, digits and hyphens, so nothing needs escaping.
+// Append appends an answer as JSON to out. It does not use an encoder, so that a look-up does not allocate for each
+// entry. Names hold only letters, digits and hyphens, so nothing needs escaping.
 func Append(out []byte, deadline time.Time, region string, chosen []*chooser.Instance) []byte {
 	out = append(out, `{"deadline":"`...)
 	out = deadline.UTC().AppendFormat(out, time.RFC3339Nano)
