--- a/core/aggregator/gauge.go
+++ b/core/aggregator/gauge.go
@@ -59,81 +59,81 @@
 }
 
 // Record takes readings; near tells that they came from entry instances, not from another controller.
-func (t *LoadTable) Record(now time.Time, list []Reading, near bool) {
-	if t.known == nil {
-		t.known = map[uint32]*needle{}
+func (g *LoadTable) Record(now time.Time, list []Reading, near bool) {
+	if g.known == nil {
+		g.known = map[uint32]*needle{}
 	}
-	t.sweep(now)
+	g.sweep(now)
 	for _, r := range list {
-		n, ok := t.known[r.Target]
+		n, ok := g.known[r.Target]
 		if !ok {
-			if len(t.known) >= maxTargets {
+			if len(g.known) >= maxTargets {
 				continue
 			}
 			n = &needle{}
-			t.known[r.Target] = n
+			g.known[r.Target] = n
 		}
 		n.all.add(now, r.PerSlot)
 		if near {
 			n.near.add(now, r.PerSlot)
 		}
 		if next := level(n.all.perSlot); apart(next, n.level) >= least || now.Sub(n.toldAt) >= repeat {
-			t.tell(now, r.Target, n, next)
+			g.tell(now, r.Target, n, next)
 		}
 	}
 }
 
 func apart(a, b byte) int { return int(max(a, b)) - int(min(a, b)) }
 
-func (t *LoadTable) tell(now time.Time, target uint32, n *needle, level byte) {
-	t.counter++
-	n.level, n.changed, n.toldAt = level, t.counter, now
-	if len(t.order) > 2*len(t.known)+1 {
-		t.order = slices.DeleteFunc(t.order, func(c change) bool { return !t.current(c) })
+func (g *LoadTable) tell(now time.Time, target uint32, n *needle, level byte) {
+	g.counter++
+	n.level, n.changed, n.toldAt = level, g.counter, now
+	if len(g.order) > 2*len(g.known)+1 {
+		g.order = slices.DeleteFunc(g.order, func(c change) bool { return !g.current(c) })
 	}
-	t.order = append(t.order, change{t.counter, target})
+	g.order = append(g.order, change{g.counter, target})
 }
 
 // current reports whether a change is the last one of its target.
-func (t *LoadTable) current(c change) bool {
-	n, ok := t.known[c.target]
+func (g *LoadTable) current(c change) bool {
+	n, ok := g.known[c.target]
 	return ok && n.changed == c.counter
 }
 
 // sweep forgets targets that nobody sends to any more.
-func (t *LoadTable) sweep(now time.Time) {
-	if now.Before(t.sweepAt) {
+func (g *LoadTable) sweep(now time.Time) {
+	if now.Before(g.sweepAt) {
 		return
 	}
-	t.sweepAt = now.Add(forgetAfter)
-	for target, n := range t.known {
+	g.sweepAt = now.Add(forgetAfter)
+	for target, n := range g.known {
 		if now.Sub(n.all.at) >= forgetAfter {
-			delete(t.known, target)
+			delete(g.known, target)
 		}
 	}
 }
 
 // Counter counts the changes so far.
-func (t *LoadTable) Counter() uint64 { return t.counter }
+func (g *LoadTable) Counter() uint64 { return g.counter }
 
 // Since returns the loads that changed after a count.
-func (t *LoadTable) Since(counter uint64) []Reading {
-	at, _ := slices.BinarySearchFunc(t.order, counter+1, func(c change, wanted uint64) int {
+func (g *LoadTable) Since(counter uint64) []Reading {
+	at, _ := slices.BinarySearchFunc(g.order, counter+1, func(c change, wanted uint64) int {
 		return int(int64(c.counter) - int64(wanted))
 	})
 	var out []Reading
-	for _, c := range t.order[at:] {
-		if t.current(c) {
-			out = append(out, Reading{c.target, float64(t.known[c.target].level) / levelParts})
+	for _, c := range g.order[at:] {
+		if g.current(c) {
+			out = append(out, Reading{c.target, float64(g.known[c.target].level) / levelParts})
 		}
 	}
 	return out
 }
 
 // Local returns the loads that entry instances told here after a time, for the other controllers of the region.
-func (t *LoadTable) Local(after time.Time) []Reading {
+func (g *LoadTable) Local(after time.Time) []Reading {
 	var out []Reading
-	for target, n := range t.known {
+	for target, n := range g.known {
 		if n.near.at.After(after) {
 			out = append(out, Reading{target, n.near.perSlot})
 		}
--- a/entry/internal/dispatcher/answer.go
+++ b/entry/internal/dispatcher/answer.go
@@ -31,7 +31,7 @@
 
 func callerDisconnected() result { return result{reason: "gone", disconnected: true} }
 
-func (d *Dispatcher) writeResult(w http.ResponseWriter, j *job, out result) {
+func (c *Dispatcher) writeResult(w http.ResponseWriter, j *job, out result) {
 	switch {
 	case out.disconnected:
 		panic(http.ErrAbortHandler)
@@ -77,14 +77,14 @@
 
 func formatHash(object uint64) string { return strconv.FormatUint(object, 36) }
 
-func (d *Dispatcher) recordResult(j *job, out result) {
+func (c *Dispatcher) recordResult(j *job, out result) {
 	took := time.Since(j.started)
-	d.Metrics.record(j, out, took)
+	c.Metrics.record(j, out, took)
 	var version uint64
 	if j.view != nil {
 		version = j.view.Table.Plan.GetVersion()
 	}
-	_ = level.Info(d.Logger).Log("msg", "request", "id", j.call.ID, "route", j.route.GetName(), "service", j.service,
+	_ = level.Info(c.Logger).Log("msg", "request", "id", j.call.ID, "route", j.route.GetName(), "service", j.service,
 		"organisation", j.organisation.GetName(), "object", objectHash(j.object), "host", j.place.Target, "by", j.place.Reason, "located", j.locateTime,
 		"version", version, "target", j.target, "region", j.region, "sends", j.sends, "status", out.status,
 		"reason", out.reason, "waited", j.queueTime, "took", took, "left", time.Until(j.deadline), "load", j.load)
--- a/entry/internal/dispatcher/attempt.go
+++ b/entry/internal/dispatcher/attempt.go
@@ -32,13 +32,13 @@
 )
 
 // dispatch sends a request until there is a final result, and returns that with what is certain of it.
-func (d *Dispatcher) dispatch(j *job) (result, attemptState) {
-	s := d.serviceState(j.service)
-	s.countRequest(j.started)
+func (c *Dispatcher) dispatch(j *job) (result, attemptState) {
+	g := c.serviceState(j.service)
+	g.countRequest(j.started)
 	var tried []string
 	worst := unsent
 	for {
-		decision, present := s.admit(j.request.Context(), d.ticket(j, s, tried))
+		decision, present := g.admit(j.request.Context(), c.ticket(j, g, tried))
 		j.queueTime = time.Since(j.started)
 		if !present {
 			return callerDisconnected(), worst
@@ -47,9 +47,9 @@
 			return refuse(http.StatusServiceUnavailable, decision.Reason, decision.Retry), worst
 		}
 		if decision.Target == nil {
-			return d.failure(j, worst), worst
+			return c.failure(j, worst), worst
 		}
-		out, state := d.attempt(j, s, decision)
+		out, state := c.attempt(j, g, decision)
 		if state == answered {
 			return out, answered
 		}
@@ -57,15 +57,15 @@
 		// The least certain attempt decides what may be said at last: one that may have run is not made undone by
 		// another that did not.
 		worst = max(worst, state)
-		if !d.mayRetry(j, s, state) {
-			return d.failure(j, worst), worst
+		if !c.mayRetry(j, g, state) {
+			return c.failure(j, worst), worst
 		}
 	}
 }
 
-func (d *Dispatcher) ticket(j *job, s *serviceState, tried []string) *placer.Ticket {
-	warm, cold := d.routes.expected(j.route)
-	j.place = d.locate(j, s, cold)
+func (c *Dispatcher) ticket(j *job, g *serviceState, tried []string) *placer.Ticket {
+	warm, cold := c.routes.expected(j.route)
+	j.place = c.locate(j, g, cold)
 	return &placer.Ticket{
 		Host:     j.place.Target,
 		WarmAt:   j.place.WarmAt,
@@ -84,26 +84,26 @@
 }
 
 // locate finds the target that keeps the request's object warm.
-func (d *Dispatcher) locate(j *job, s *serviceState, cold time.Duration) placer.Place {
+func (c *Dispatcher) locate(j *job, g *serviceState, cold time.Duration) placer.Place {
 	j.object = j.objectName()
 	if j.object == "" {
 		return placer.Place{}
 	}
 	started := time.Now()
-	if place, ok := s.knownPlace(started, j.object, j.regions); ok {
+	if place, ok := g.knownPlace(started, j.object, j.regions); ok {
 		return place
 	}
 	if len(j.organisation.GetRegions()) > 0 {
 		j.object = j.regionBoundName(j.object)
-		if place, ok := s.knownPlace(started, j.object, j.regions); ok {
+		if place, ok := g.knownPlace(started, j.object, j.regions); ok {
 			return place
 		}
 	}
-	place := d.Locator.Locate(j.request.Context(), j.view.Peers, j.service, placer.Ask{
-		Object: j.object, Route: j.route.GetName(), Hint: s.lastTarget(j.object), Cold: cold, Regions: j.regions,
+	place := c.Locator.Locate(j.request.Context(), j.view.Peers, j.service, placer.Ask{
+		Object: j.object, Route: j.route.GetName(), Hint: g.lastTarget(j.object), Cold: cold, Regions: j.regions,
 	})
 	j.locateTime = time.Since(started)
-	s.cachePlace(time.Now(), j.object, place)
+	g.cachePlace(time.Now(), j.object, place)
 	return place
 }
 
@@ -113,7 +113,7 @@
 
 // mayRetry decides whether a request is sent once more. What may have run is repeated only if it is idempotent; what
 // reached a target is paid for, for all instances together may repeat only a part of their requests.
-func (d *Dispatcher) mayRetry(j *job, s *serviceState, state attemptState) bool {
+func (c *Dispatcher) mayRetry(j *job, g *serviceState, state attemptState) bool {
 	now := time.Now()
 	if !now.Before(j.deadline) || j.request.Context().Err() != nil {
 		return false
@@ -122,61 +122,61 @@
 	case unsent:
 		return true
 	case unknown:
-		if !j.route.GetIdempotent() || d.Quarantine.Losses(now, j.fingerprint) > maxLossesForRetry {
+		if !j.route.GetIdempotent() || c.Quarantine.Losses(now, j.fingerprint) > maxLossesForRetry {
 			return false
 		}
 	case notExecuted, answered:
 	}
-	return j.sends < int(max(1, j.route.GetAttempts())) && s.spendRetry(now, j.view.Entries)
+	return j.sends < int(max(1, j.route.GetAttempts())) && g.spendRetry(now, j.view.Entries)
 }
 
 // attempt sends the request to one target, whose slot is already taken.
-func (d *Dispatcher) attempt(j *job, s *serviceState, decision placer.Decision) (result, attemptState) {
+func (c *Dispatcher) attempt(j *job, g *serviceState, decision placer.Decision) (result, attemptState) {
 	t := decision.Target
 	// Where a request goes that its object's host has no room for says nothing of the next one.
 	if j.place.Target == "" || j.place.Target == t.Name {
-		s.recordTarget(j.object, t.Name)
+		g.recordTarget(j.object, t.Name)
 	}
 	j.target, j.region = t.Name, t.Region
 	start := time.Now()
 	ctx, cancel := j.context()
 	defer cancel()
-	warm, cold := d.routes.expected(j.route)
-	running := d.overdue.begin(start, t.Name, warm, cold)
-	defer d.overdue.end(running)
-	answer, sendOutcome, err := d.Sender.Send(ctx, t.Address, d.outgoing(j, t, start))
+	warm, cold := c.routes.expected(j.route)
+	running := c.overdue.begin(start, t.Name, warm, cold)
+	defer c.overdue.end(running)
+	answer, sendOutcome, err := c.Sender.Send(ctx, t.Address, c.outgoing(j, t, start))
 	if sendOutcome != pooler.Unsent {
 		j.sends++
 	}
-	out, state := d.classify(j, answer, sendOutcome)
+	out, state := c.classify(j, answer, sendOutcome)
 	outcome := placer.Outcome{Failed: state != answered}
 	if sendOutcome == pooler.Answered {
-		outcome.Load = d.Codec.Reply(answer.Status, answer.Header).Load
+		outcome.Load = c.Codec.Reply(answer.Status, answer.Header).Load
 		j.load = outcome.Load
-		d.observe(t, outcome.Load)
+		c.observe(t, outcome.Load)
 	}
 	if state == answered {
 		outcome.Took = time.Since(start)
-		if t.Region != d.Region {
+		if t.Region != c.Region {
 			outcome.Took = max(0, outcome.Took-regionRoundTrip)
 		}
-		outcome.Usual = d.routes.expectedLike(j.route, outcome.Took)
+		outcome.Usual = c.routes.expectedLike(j.route, outcome.Took)
 		outcome.Failed = answer.Status >= http.StatusInternalServerError
-		d.routes.recordServiceTime(j.route, outcome.Took)
-		d.clearSuspicion(start, j)
+		c.routes.recordServiceTime(j.route, outcome.Took)
+		c.clearSuspicion(start, j)
 	}
 	if err != nil {
 		outcome.Unreachable = ctx.Err() == nil
-		d.recordLoss(j, t, loss{sendOutcome: sendOutcome, err: err, cancelled: ctx.Err() != nil, took: time.Since(start)})
+		c.recordLoss(j, t, loss{sendOutcome: sendOutcome, err: err, cancelled: ctx.Err() != nil, took: time.Since(start)})
 	}
-	s.done(t, outcome)
+	g.done(t, outcome)
 	return out, state
 }
 
 // observe passes on what a target reported of its load.
-func (d *Dispatcher) observe(t *placer.Target, l *messenger.Load) {
+func (c *Dispatcher) observe(t *placer.Target, l *messenger.Load) {
 	if load, ok := l.PerSlot(); ok {
-		d.Views.Observe(aggregator.Reading{Target: aggregator.Key(t.Name), PerSlot: load})
+		c.Views.Observe(aggregator.Reading{Target: aggregator.Key(t.Name), PerSlot: load})
 	}
 }
 
@@ -190,11 +190,11 @@
 	return context.WithDeadline(ctx, j.deadline.Add(answerMargin))
 }
 
-func (d *Dispatcher) outgoing(j *job, t *placer.Target, now time.Time) *pooler.Request {
+func (c *Dispatcher) outgoing(j *job, t *placer.Target, now time.Time) *pooler.Request {
 	header := j.request.Header.Clone()
 	messenger.RemoveHop(header)
 	header.Del("Content-Length")
-	d.Codec.Address(header, messenger.Addressee{
+	c.Codec.Address(header, messenger.Addressee{
 		Target: t.Name, Organisation: j.organisation.GetName(), Deadline: j.deadline,
 	}, now)
 	return &pooler.Request{
@@ -203,12 +203,12 @@
 		Host:   j.request.Host,
 		Header: header,
 		Body:   j.body,
-		Mine:   func(h http.Header) bool { return d.Codec.Reply(http.StatusOK, h).ID == j.call.ID },
+		Mine:   func(h http.Header) bool { return c.Codec.Reply(http.StatusOK, h).ID == j.call.ID },
 	}
 }
 
 // classify decides what an answer is worth.
-func (d *Dispatcher) classify(j *job, a *pooler.Answer, sendOutcome pooler.Ending) (result, attemptState) {
+func (c *Dispatcher) classify(j *job, a *pooler.Answer, sendOutcome pooler.Ending) (result, attemptState) {
 	switch sendOutcome {
 	case pooler.Unsent:
 		return result{}, unsent
@@ -216,7 +216,7 @@
 		return result{}, unknown
 	case pooler.Answered:
 	}
-	reply := d.Codec.Reply(a.Status, a.Header)
+	reply := c.Codec.Reply(a.Status, a.Header)
 	if reply.Unrun {
 		return result{}, notExecuted
 	}
@@ -242,9 +242,9 @@
 }
 
 // clearSuspicion takes a request that succeeded off all instances' lists of suspects.
-func (d *Dispatcher) clearSuspicion(now time.Time, j *job) {
-	if d.Quarantine.Succeed(now, j.fingerprint) {
-		d.Views.Report(&wire.Loss{Fingerprint: j.fingerprint[:], Success: true, Incarnation: rand.Uint64()})
+func (c *Dispatcher) clearSuspicion(now time.Time, j *job) {
+	if c.Quarantine.Succeed(now, j.fingerprint) {
+		c.Views.Report(&wire.Loss{Fingerprint: j.fingerprint[:], Success: true, Incarnation: rand.Uint64()})
 	}
 }
 
@@ -267,20 +267,20 @@
 }
 
 // recordLoss remembers what a broken attempt tells of its target, and of its request.
-func (d *Dispatcher) recordLoss(j *job, t *placer.Target, l loss) {
-	_ = level.Info(d.Logger).Log("msg", "attempt failed", "id", j.call.ID, "target", t.Name, "zone", t.Zone,
+func (c *Dispatcher) recordLoss(j *job, t *placer.Target, l loss) {
+	_ = level.Info(c.Logger).Log("msg", "attempt failed", "id", j.call.ID, "target", t.Name, "zone", t.Zone,
 		"sent", l.sendOutcome != pooler.Unsent, "late", l.cancelled, "took", l.took, "held", l.unacknowledged(), "err", l.err)
 	if l.unacknowledged() > 0 {
-		d.Metrics.undelivered.WithLabelValues(j.service).Inc()
+		c.Metrics.undelivered.WithLabelValues(j.service).Inc()
 	}
-	d.Sender.CloseIdle(t.Address)
+	c.Sender.CloseIdle(t.Address)
 	// A target that has not got the whole request does not run it, and did not crash from it.
 	if l.sendOutcome != pooler.Broken || l.cancelled || l.unacknowledged() > 0 {
 		return
 	}
 	run := quarantiner.Run{Target: t.Name, Incarnation: t.Incarnation}
-	if d.Quarantine.Lose(time.Now(), j.fingerprint, run) {
-		d.Views.Report(&wire.Loss{Fingerprint: j.fingerprint[:], Target: t.Name, Incarnation: t.Incarnation})
+	if c.Quarantine.Lose(time.Now(), j.fingerprint, run) {
+		c.Views.Report(&wire.Loss{Fingerprint: j.fingerprint[:], Target: t.Name, Incarnation: t.Incarnation})
 	}
 }
 
@@ -288,7 +288,7 @@
 const failedRetryDelay = 100 * time.Millisecond
 
 // failure words the final answer of a request that no target answered.
-func (d *Dispatcher) failure(j *job, state attemptState) result {
+func (c *Dispatcher) failure(j *job, state attemptState) result {
 	now := time.Now()
 	if state != unknown {
 		return refuse(http.StatusServiceUnavailable, "failed", now.Add(failedRetryDelay))
--- a/entry/internal/dispatcher/dispatcher.go
+++ b/entry/internal/dispatcher/dispatcher.go
@@ -96,52 +96,52 @@
 }
 
 // Name implements kernel.Service.
-func (d *Dispatcher) Name() string { return "carry" }
+func (c *Dispatcher) Name() string { return "carry" }
 
 // Start begins to look after waiting requests.
-func (d *Dispatcher) Start(context.Context, kernel.Finder) error {
-	d.services = map[string]*serviceState{}
-	d.done = make(chan struct{})
+func (c *Dispatcher) Start(context.Context, kernel.Finder) error {
+	c.services = map[string]*serviceState{}
+	c.done = make(chan struct{})
 	ctx, cancel := context.WithCancel(context.Background())
-	d.cancel = cancel
-	go d.maintain(ctx)
+	c.cancel = cancel
+	go c.maintain(ctx)
 	return nil
 }
 
 // Stop waits for the requests in progress.
-func (d *Dispatcher) Stop(ctx context.Context) error {
-	if d.cancel == nil {
+func (c *Dispatcher) Stop(ctx context.Context) error {
+	if c.cancel == nil {
 		return nil
 	}
-	d.stopping.Store(true)
+	c.stopping.Store(true)
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
-	for d.running.Load() > 0 {
+	for c.running.Load() > 0 {
 		select {
 		case <-ctx.Done():
-			return &StopTimeoutError{Running: d.running.Load()}
+			return &StopTimeoutError{Running: c.running.Load()}
 		case <-ticker.C:
 		}
 	}
-	d.cancel()
-	<-d.done
-	d.Sender.Close()
+	c.cancel()
+	<-c.done
+	c.Sender.Close()
 	return nil
 }
 
 // Health implements kernel.Service.
-func (d *Dispatcher) Health() error {
-	if d.stopping.Load() {
+func (c *Dispatcher) Health() error {
+	if c.stopping.Load() {
 		return &StoppingError{}
 	}
 	return nil
 }
 
 // CloseConnections makes every answer ask its caller for a new connection, while requests are still served.
-func (d *Dispatcher) CloseConnections() { d.stopping.Store(true) }
+func (c *Dispatcher) CloseConnections() { c.stopping.Store(true) }
 
-func (d *Dispatcher) maintain(ctx context.Context) {
-	defer close(d.done)
+func (c *Dispatcher) maintain(ctx context.Context) {
+	defer close(c.done)
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	sweepAt := time.Now().Add(sweepInterval)
@@ -152,125 +152,125 @@
 		case <-ticker.C:
 		}
 		now := time.Now()
-		for service, s := range d.allServices() {
-			s.tick(now)
-			d.balance(now, service, s)
+		for service, g := range c.allServices() {
+			g.tick(now)
+			c.balance(now, service, g)
 		}
-		d.cancelUndelivered(now)
-		for _, r := range d.overdue.due(now) {
-			d.Views.Observe(r)
+		c.cancelUndelivered(now)
+		for _, r := range c.overdue.due(now) {
+			c.Views.Observe(r)
 		}
 		if now.After(sweepAt) {
 			sweepAt = now.Add(sweepInterval)
-			d.Sender.Sweep(now)
-			d.Quarantine.Sweep(now)
+			c.Sender.Sweep(now)
+			c.Quarantine.Sweep(now)
 		}
 	}
 }
 
 // balance tells of the objects that move to other targets.
-func (d *Dispatcher) balance(now time.Time, service string, s *serviceState) {
-	for _, m := range s.balance(now) {
-		d.publishPlace(service, m.Object, m.Place)
+func (c *Dispatcher) balance(now time.Time, service string, g *serviceState) {
+	for _, m := range g.balance(now) {
+		c.publishPlace(service, m.Object, m.Place)
 	}
 }
 
 // publishPlace makes an object's new place known.
-func (d *Dispatcher) publishPlace(service string, object uint64, place placer.Place) {
-	d.Views.Settle(&wire.Host{
+func (c *Dispatcher) publishPlace(service string, object uint64, place placer.Place) {
+	c.Views.Settle(&wire.Host{
 		Object: object, Service: service, Target: place.Target, Route: place.Route, Version: place.Version,
 	})
-	d.Metrics.placed.WithLabelValues(service, place.Reason).Inc()
-	d.logPlace(service, object, place)
+	c.Metrics.placed.WithLabelValues(service, place.Reason).Inc()
+	c.logPlace(service, object, place)
 }
 
-func (d *Dispatcher) logPlace(service string, object uint64, place placer.Place) {
-	_ = level.Info(d.Logger).Log("msg", "object placed", "object", formatHash(object), "service", service,
+func (c *Dispatcher) logPlace(service string, object uint64, place placer.Place) {
+	_ = level.Info(c.Logger).Log("msg", "object placed", "object", formatHash(object), "service", service,
 		"target", place.Target, "reason", place.Reason, "version", place.Version)
 }
 
-func (d *Dispatcher) allServices() map[string]*serviceState {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return maps.Clone(d.services)
+func (c *Dispatcher) allServices() map[string]*serviceState {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return maps.Clone(c.services)
 }
 
 // ApplyView fits every service's gate to a new view.
-func (d *Dispatcher) ApplyView(v *watcher.View) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.labelledPlan != v.Table.Plan {
-		d.labelledPlan = v.Table.Plan
-		d.Metrics.labelOrganisations(d.labelledPlan)
+func (c *Dispatcher) ApplyView(v *watcher.View) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.labelledPlan != v.Table.Plan {
+		c.labelledPlan = v.Table.Plan
+		c.Metrics.labelOrganisations(c.labelledPlan)
 	}
 	for name := range v.Targets {
-		if _, ok := d.services[name]; !ok {
-			d.services[name] = newServiceState(d.Region, d.Zone)
+		if _, ok := c.services[name]; !ok {
+			c.services[name] = newServiceState(c.Region, c.Zone)
 		}
 	}
-	self := slices.IndexFunc(v.Peers, func(p locator.Peer) bool { return p.Name == d.Self })
+	self := slices.IndexFunc(v.Peers, func(p locator.Peer) bool { return p.Name == c.Self })
 	now := time.Now()
-	for name, s := range d.services {
-		d.withdrawals.add(now, s.applyView(now, v.Targets[name], v, d.Locator, max(0, self)))
+	for name, g := range c.services {
+		c.withdrawals.add(now, g.applyView(now, v.Targets[name], v, c.Locator, max(0, self)))
 	}
 }
 
 // UpdateHosts takes where objects are kept warm.
-func (d *Dispatcher) UpdateHosts(hosts []*wire.Host) {
+func (c *Dispatcher) UpdateHosts(hosts []*wire.Host) {
 	now := time.Now()
 	for _, h := range hosts {
-		d.serviceState(h.GetService()).updateHost(now, h)
+		c.serviceState(h.GetService()).updateHost(now, h)
 	}
 }
 
 // UpdateLoads takes how busy targets are.
-func (d *Dispatcher) UpdateLoads(loads []aggregator.Reading) {
+func (c *Dispatcher) UpdateLoads(loads []aggregator.Reading) {
 	now := time.Now()
-	for _, s := range d.allServices() {
-		s.updateLoads(now, loads)
+	for _, g := range c.allServices() {
+		g.updateLoads(now, loads)
 	}
 }
 
 // Assign implements locator.Assigner.
-func (d *Dispatcher) Assign(now time.Time, service string, ask placer.Ask) placer.Place {
-	place, object := d.serviceState(service).assign(now, ask), placer.ObjectOf(ask.Object)
+func (c *Dispatcher) Assign(now time.Time, service string, ask placer.Ask) placer.Place {
+	place, object := c.serviceState(service).assign(now, ask), placer.ObjectOf(ask.Object)
 	switch {
 	case place.Settled:
-		d.publishPlace(service, object, place)
+		c.publishPlace(service, object, place)
 	case place.Reason != "known":
-		d.logPlace(service, object, place)
+		c.logPlace(service, object, place)
 	}
 	return place
 }
 
-func (d *Dispatcher) serviceState(service string) *serviceState {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	s, ok := d.services[service]
+func (c *Dispatcher) serviceState(service string) *serviceState {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	g, ok := c.services[service]
 	if !ok {
-		s = newServiceState(d.Region, d.Zone)
-		d.services[service] = s
+		g = newServiceState(c.Region, c.Zone)
+		c.services[service] = g
 	}
-	return s
+	return g
 }
 
 // ServeHTTP carries one request and writes its final answer.
-func (d *Dispatcher) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	d.running.Add(1)
-	defer d.running.Add(-1)
+func (c *Dispatcher) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	c.running.Add(1)
+	defer c.running.Add(-1)
 	j := &job{started: time.Now(), request: r}
-	out := d.handle(j)
-	if d.stopping.Load() {
+	out := c.handle(j)
+	if c.stopping.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	d.recordResult(j, out)
-	d.writeResult(w, j, out)
+	c.recordResult(j, out)
+	c.writeResult(w, j, out)
 }
 
 // awaitView returns the newest view. An instance that starts has none for a moment; callers are sent to it by then, and
 // their requests wait that long.
-func (d *Dispatcher) awaitView(j *job) *watcher.View {
-	if view := d.Views.View(); view != nil {
+func (c *Dispatcher) awaitView(j *job) *watcher.View {
+	if view := c.Views.View(); view != nil {
 		return view
 	}
 	ctx, cancel := context.WithDeadline(j.request.Context(), j.started.Add(firstPlanTimeout))
@@ -280,33 +280,33 @@
 	for {
 		select {
 		case <-ctx.Done():
-			return d.Views.View()
+			return c.Views.View()
 		case <-ticker.C:
 		}
-		if view := d.Views.View(); view != nil {
+		if view := c.Views.View(); view != nil {
 			return view
 		}
 	}
 }
 
 // handle takes a request through its decisions, in order, to its result.
-func (d *Dispatcher) handle(j *job) result {
-	j.view = d.awaitView(j)
+func (c *Dispatcher) handle(j *job) result {
+	j.view = c.awaitView(j)
 	if j.view == nil {
 		return refuse(http.StatusServiceUnavailable, "blind", time.Now().Add(noPlanRetryDelay))
 	}
-	if out := d.prepare(j); out != nil {
+	if out := c.prepare(j); out != nil {
 		return *out
 	}
-	if until := d.Quarantine.Refused(j.started, j.fingerprint); !until.IsZero() {
+	if until := c.Quarantine.Refused(j.started, j.fingerprint); !until.IsZero() {
 		return refuse(http.StatusServiceUnavailable, "quarantine", until)
 	}
-	if out := d.checkQuota(j); out != nil {
+	if out := c.checkQuota(j); out != nil {
 		return *out
 	}
-	out, state := d.dispatch(j)
+	out, state := c.dispatch(j)
 	if state == unsent || state == notExecuted {
-		d.Quotas.Return(j.organisation.GetName(), j.quota)
+		c.Quotas.Return(j.organisation.GetName(), j.quota)
 	}
 	return out
 }
--- a/entry/internal/dispatcher/dispatcher_test.go
+++ b/entry/internal/dispatcher/dispatcher_test.go
@@ -147,23 +147,23 @@
 	view := &watcher.View{
 		Table: planner.NewTable(testPlan()), Targets: map[string][]placer.Spec{"listings": specs}, Entries: 1,
 	}
-	d := &Dispatcher{
+	c := &Dispatcher{
 		Self: "e1", Locator: soleInstance{}, Quotas: unlimitedQuotas{}, Region: "r", Zone: "z", Codec: translator.Face{}, Views: viewsWith(view), Sender: s,
 		Quarantine: &quarantiner.Quarantiner{Confirm: 3}, Logger: log.NewNopLogger(), Metrics: NewMetrics(prometheus.NewRegistry()),
 	}
-	is.New(t).NoErr(d.Start(context.Background(), nil))
-	d.ApplyView(view)
-	t.Cleanup(func() { is.New(t).NoErr(d.Stop(context.Background())) })
-	return d, s
+	is.New(t).NoErr(c.Start(context.Background(), nil))
+	c.ApplyView(view)
+	t.Cleanup(func() { is.New(t).NoErr(c.Stop(context.Background())) })
+	return c, s
 }
 
-func sendRequest(d *Dispatcher, method, path string) *httptest.ResponseRecorder {
+func sendRequest(c *Dispatcher, method, path string) *httptest.ResponseRecorder {
 	r := httptest.NewRequest(method, "http://h.example"+path, strings.NewReader("in"))
 	r.RequestURI = path
 	r.Header.Set(translator.HeaderAttempt, "a1")
 	r.Header.Set(translator.HeaderDeadline, "1000")
 	w := httptest.NewRecorder()
-	d.ServeHTTP(w, r)
+	c.ServeHTTP(w, r)
 	return w
 }
 
@@ -216,11 +216,11 @@
 // The first target broke off and may have run the request; no other is left to send it to. "Not run" would be untrue.
 func TestUncertainAttemptIsNotReportedAsNotExecuted(t *testing.T) {
 	is := is.New(t)
-	d, s := startDispatcher(t, scriptedAttempt{outcome: pooler.Broken})
-	view := *d.Views.View()
+	c, s := startDispatcher(t, scriptedAttempt{outcome: pooler.Broken})
+	view := *c.Views.View()
 	view.Targets = map[string][]placer.Spec{"listings": view.Targets["listings"][:1]}
-	d.ApplyView(&view)
-	w := sendRequest(d, http.MethodPost, "/safe/1")
+	c.ApplyView(&view)
+	w := sendRequest(c, http.MethodPost, "/safe/1")
 	is.Equal(w.Code, http.StatusBadGateway)
 	is.Equal(len(s.sent), 1)
 }
@@ -228,9 +228,9 @@
 // A target does not answer in time. The caller gets the final answer at its route's time-out and no later.
 func TestTimeout(t *testing.T) {
 	is := is.New(t)
-	d, s := startDispatcher(t, scriptedAttempt{hang: true})
+	c, s := startDispatcher(t, scriptedAttempt{hang: true})
 	started := time.Now()
-	w := sendRequest(d, http.MethodPost, "/once/1")
+	w := sendRequest(c, http.MethodPost, "/once/1")
 	is.Equal(w.Code, http.StatusGatewayTimeout)
 	is.True(time.Since(started) < 600*time.Millisecond)
 	is.Equal(len(s.sent), 1)
@@ -242,14 +242,14 @@
 	for path, ended := range map[string]bool{"/safe/1": true, "/once/1": false} {
 		t.Run(path, func(t *testing.T) {
 			is := is.New(t)
-			d, s := startDispatcher(t, scriptedAttempt{hang: true})
+			c, s := startDispatcher(t, scriptedAttempt{hang: true})
 			ctx, cancel := context.WithCancel(context.Background())
 			r := httptest.NewRequestWithContext(ctx, http.MethodPost, "http://h.example"+path, nil)
 			r.RequestURI = path
 			r.Header.Set(translator.HeaderAttempt, "a1")
 			time.AfterFunc(30*time.Millisecond, cancel)
 			started := time.Now()
-			d.ServeHTTP(httptest.NewRecorder(), r)
+			c.ServeHTTP(httptest.NewRecorder(), r)
 			is.Equal(time.Since(started) < 200*time.Millisecond, ended)
 			is.Equal(s.cancelled, 1)
 		})
@@ -260,8 +260,8 @@
 // for. It is named, so that another one at its address refuses.
 func TestOutgoingRequest(t *testing.T) {
 	is := is.New(t)
-	d, s := startDispatcher(t, signedAnswer(200))
-	sendRequest(d, http.MethodPost, "/once/1?q=%2F%20x")
+	c, s := startDispatcher(t, signedAnswer(200))
+	sendRequest(c, http.MethodPost, "/once/1?q=%2F%20x")
 	sent := s.sent[0]
 	is.Equal(sent.Path, "/once/1?q=%2F%20x")
 	is.Equal(sent.Host, "h.example")
@@ -276,41 +276,41 @@
 // before it reaches another.
 func TestCrashingRequestIsQuarantined(t *testing.T) {
 	is := is.New(t)
-	d, s := startDispatcher(t, scriptedAttempt{outcome: pooler.Broken})
+	c, s := startDispatcher(t, scriptedAttempt{outcome: pooler.Broken})
 	for range 4 {
-		sendRequest(d, http.MethodPost, "/safe/1")
+		sendRequest(c, http.MethodPost, "/safe/1")
 	}
 	before := len(s.sent)
-	w := sendRequest(d, http.MethodPost, "/safe/1")
+	w := sendRequest(c, http.MethodPost, "/safe/1")
 	is.Equal(w.Code, http.StatusServiceUnavailable)
 	is.Equal(len(s.sent), before)
 }
 
 func TestRequestWithoutPlanIsUnavailable(t *testing.T) {
 	is := is.New(t)
-	d, _ := startDispatcher(t, signedAnswer(200))
-	d.Views = &fakeViews{}
-	w := sendRequest(d, http.MethodPost, "/once/1")
+	c, _ := startDispatcher(t, signedAnswer(200))
+	c.Views = &fakeViews{}
+	w := sendRequest(c, http.MethodPost, "/once/1")
 	is.Equal(w.Code, http.StatusServiceUnavailable) // never 404: what is not known may exist
 }
 
 // Guards against callers that are refused by an instance which is named to them and knows the plan a moment later.
 func TestRequestsWaitForTheFirstPlan(t *testing.T) {
 	is := is.New(t)
-	d, _ := startDispatcher(t, signedAnswer(200))
-	view := d.Views.View()
+	c, _ := startDispatcher(t, signedAnswer(200))
+	view := c.Views.View()
 	first := &fakeViews{}
-	d.Views = first
+	c.Views = first
 	time.AfterFunc(firstPlanTimeout/2, func() { first.view.Store(view) })
-	is.Equal(sendRequest(d, http.MethodPost, "/once/1").Code, http.StatusOK)
+	is.Equal(sendRequest(c, http.MethodPost, "/once/1").Code, http.StatusOK)
 }
 
 // An instance is being stopped. Requests are still served, and each answer sends its caller elsewhere.
 func TestStopping(t *testing.T) {
 	is := is.New(t)
-	d, _ := startDispatcher(t, signedAnswer(200))
-	d.CloseConnections()
-	w := sendRequest(d, http.MethodPost, "/once/1")
+	c, _ := startDispatcher(t, signedAnswer(200))
+	c.CloseConnections()
+	w := sendRequest(c, http.MethodPost, "/once/1")
 	is.Equal(w.Code, http.StatusOK)
 	is.Equal(w.Header().Get("Connection"), "close")
 }
--- a/entry/internal/dispatcher/job.go
+++ b/entry/internal/dispatcher/job.go
@@ -57,14 +57,14 @@
 }
 
 // prepare matches and reads a request; a result other than nil ends it.
-func (d *Dispatcher) prepare(j *job) *result {
+func (c *Dispatcher) prepare(j *job) *result {
 	route, ok := j.view.Table.Match(j.request.Host, j.request.URL.EscapedPath())
 	if !ok {
 		out := refuse(http.StatusNotFound, "route", time.Time{})
 		return &out
 	}
 	j.route = route
-	call, err := d.Codec.Call(j.request, j.started)
+	call, err := c.Codec.Call(j.request, j.started)
 	if err != nil {
 		out := refuse(http.StatusBadRequest, "header", time.Time{})
 		return &out
@@ -84,7 +84,7 @@
 	if out := j.readBody(); out != nil {
 		return out
 	}
-	j.service = d.routes.nextService(route)
+	j.service = c.routes.nextService(route)
 	j.fingerprint = fingerprint(j)
 	return nil
 }
--- a/entry/internal/dispatcher/metrics.go
+++ b/entry/internal/dispatcher/metrics.go
@@ -14,11 +14,11 @@
 
 // Metrics counts requests by service, status and reason, and objects that were placed.
 type Metrics struct {
-	requests    *prometheus.CounterVec
-	duration    *prometheus.HistogramVec
-	queueTime   *prometheus.HistogramVec
-	placed      *prometheus.CounterVec
-	undelivered *prometheus.CounterVec
+	requests      *prometheus.CounterVec
+	duration      *prometheus.HistogramVec
+	queueDuration *prometheus.HistogramVec
+	placed        *prometheus.CounterVec
+	undelivered   *prometheus.CounterVec
 	// organisations counts by organisation; named are those that have a label of their own.
 	organisations *prometheus.CounterVec
 	labelled      atomic.Pointer[map[string]bool]
@@ -40,7 +40,7 @@
 		duration: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Namespace: "chervilrail_entry", Name: "carried_seconds", Help: "Time to the final answer.", Buckets: buckets,
 		}, []string{"service"}),
-		queueTime: prometheus.NewHistogramVec(prometheus.HistogramOpts{
+		queueDuration: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Namespace: "chervilrail_entry", Name: "queue_seconds", Help: "Time until a request was placed or refused.",
 			Buckets: buckets,
 		}, []string{"service"}),
@@ -56,7 +56,7 @@
 		Namespace: "chervilrail_entry", Name: "organisation_requests_total",
 		Help: "Requests by organisation and status; the largest organisations by name, the rest as others.",
 	}, []string{"organisation", "status"})
-	r.MustRegister(m.requests, m.duration, m.queueTime, m.placed, m.undelivered, m.organisations)
+	r.MustRegister(m.requests, m.duration, m.queueDuration, m.placed, m.undelivered, m.organisations)
 	return m
 }
 
@@ -84,7 +84,7 @@
 func (m *Metrics) record(j *job, out result, took time.Duration) {
 	m.requests.WithLabelValues(j.service, strconv.Itoa(out.status), out.reason).Inc()
 	m.duration.WithLabelValues(j.service).Observe(took.Seconds())
-	m.queueTime.WithLabelValues(j.service).Observe(j.queueTime.Seconds())
+	m.queueDuration.WithLabelValues(j.service).Observe(j.queueTime.Seconds())
 	if label := m.organisationLabel(j.organisation.GetName()); label != "" {
 		m.organisations.WithLabelValues(label, strconv.Itoa(out.status)).Inc()
 	}
--- a/entry/internal/dispatcher/organisation.go
+++ b/entry/internal/dispatcher/organisation.go
@@ -41,18 +41,18 @@
 }
 
 // checkQuota counts the request against its organisation's quota; a result other than nil ends the request.
-func (d *Dispatcher) checkQuota(j *job) *result {
+func (c *Dispatcher) checkQuota(j *job) *result {
 	if j.organisation == nil {
 		return nil
 	}
 	name := j.organisation.GetName()
-	warm, _ := d.routes.expected(j.route)
+	warm, _ := c.routes.expected(j.route)
 	start := j.started.Add(time.Duration(j.route.GetAim()) - warm)
-	j.quota = d.Quotas.Admit(j.request.Context(), name, start, j.deadline)
+	j.quota = c.Quotas.Admit(j.request.Context(), name, start, j.deadline)
 	if j.quota.Outcome == quoter.Granted {
 		return nil
 	}
-	_ = level.Info(d.Logger).Log("msg", "quota", "id", j.call.ID, "organisation", name, "outcome", j.quota.Outcome,
+	_ = level.Info(c.Logger).Log("msg", "quota", "id", j.call.ID, "organisation", name, "outcome", j.quota.Outcome,
 		"rate", j.organisation.GetRate(), "burst", j.organisation.GetBurst(), "held", j.quota.Held, "used", j.quota.Used,
 		"age", j.quota.Age(time.Now()), "peer", j.quota.Peer)
 	status, retry := http.StatusTooManyRequests, j.quota.Retry
--- a/entry/internal/dispatcher/organisation_test.go
+++ b/entry/internal/dispatcher/organisation_test.go
@@ -38,9 +38,9 @@
 const secret = "s3cret"
 
 // requireKeys makes the carrier's plan need keys: acme's is secret, bound may only be served in region q, where no target is.
-func requireKeys(d *Dispatcher, m *fakeQuotas) {
-	d.Quotas = m
-	view := *d.Views.View()
+func requireKeys(c *Dispatcher, m *fakeQuotas) {
+	c.Quotas = m
+	view := *c.Views.View()
 	p := testPlan()
 	open := true
 	p.Routes = append(p.Routes, &wire.Route{
@@ -55,17 +55,17 @@
 		{Name: "acme", Keys: []string{secret}}, {Name: "bound", Keys: []string{"bound"}, Regions: []string{"q"}},
 	}
 	view.Table = planner.NewTable(planner.Seal(p))
-	d.Views = viewsWith(&view)
+	c.Views = viewsWith(&view)
 }
 
-func sendWithHeader(d *Dispatcher, path string, header http.Header) *httptest.ResponseRecorder {
+func sendWithHeader(c *Dispatcher, path string, header http.Header) *httptest.ResponseRecorder {
 	r := httptest.NewRequest(http.MethodPost, "http://h.example"+path, strings.NewReader("in"))
 	r.RequestURI = path
 	r.Header = header.Clone()
 	r.Header.Set(translator.HeaderAttempt, "a1")
 	r.Header.Set(translator.HeaderDeadline, "1000")
 	w := httptest.NewRecorder()
-	d.ServeHTTP(w, r)
+	c.ServeHTTP(w, r)
 	return w
 }
 
@@ -97,9 +97,9 @@
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
-			d, s := startDispatcher(t, signedAnswer(200))
-			requireKeys(d, &fakeQuotas{})
-			w := sendWithHeader(d, test.path, test.header)
+			c, s := startDispatcher(t, signedAnswer(200))
+			requireKeys(c, &fakeQuotas{})
+			w := sendWithHeader(c, test.path, test.header)
 			is.Equal(w.Code, test.status)
 			is.Equal(len(s.sent) == 1, test.status == 200)
 			if test.status == 200 {
@@ -113,12 +113,12 @@
 // Guards against a key in the log.
 func TestNoKeyIsLogged(t *testing.T) {
 	is := is.New(t)
-	d, _ := startDispatcher(t, signedAnswer(200))
+	c, _ := startDispatcher(t, signedAnswer(200))
 	out := &bytes.Buffer{}
-	d.Logger = log.NewLogfmtLogger(out)
-	requireKeys(d, &fakeQuotas{})
+	c.Logger = log.NewLogfmtLogger(out)
+	requireKeys(c, &fakeQuotas{})
 	for _, text := range []string{secret, "guess", "Bearer " + secret} {
-		sendWithHeader(d, "/once/1", key(text))
+		sendWithHeader(c, "/once/1", key(text))
 	}
 	is.True(strings.Contains(out.String(), "acme"))
 	is.True(!strings.Contains(out.String(), secret))
@@ -128,17 +128,17 @@
 // Guards against requests that run outside the regions of their organisation or route, also where no region is left.
 func TestRegionsOfAnOrganisation(t *testing.T) {
 	is := is.New(t)
-	d, s := startDispatcher(t, signedAnswer(200))
-	requireKeys(d, &fakeQuotas{})
-	is.Equal(sendWithHeader(d, "/home/1", key("bound")).Code, http.StatusServiceUnavailable) // no region is in both
-	is.Equal(sendWithHeader(d, "/once/1", key("bound")).Code, http.StatusServiceUnavailable) // no target there
+	c, s := startDispatcher(t, signedAnswer(200))
+	requireKeys(c, &fakeQuotas{})
+	is.Equal(sendWithHeader(c, "/home/1", key("bound")).Code, http.StatusServiceUnavailable) // no region is in both
+	is.Equal(sendWithHeader(c, "/once/1", key("bound")).Code, http.StatusServiceUnavailable) // no target there
 	is.Equal(len(s.sent), 0)
-	view := *d.Views.View()
+	view := *c.Views.View()
 	view.Targets = map[string][]placer.Spec{"listings": append(view.Targets["listings"], placer.Spec{
 		Name: "far", Region: "q", Zone: "y", Slots: 2, Own: 2,
 	})}
-	d.ApplyView(&view)
-	is.Equal(sendWithHeader(d, "/once/1", key("bound")).Code, http.StatusOK)
+	c.ApplyView(&view)
+	is.Equal(sendWithHeader(c, "/once/1", key("bound")).Code, http.StatusOK)
 	is.Equal(s.sent[0].Header.Get(translator.HeaderTarget), "far")
 }
 
@@ -189,10 +189,10 @@
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
-			d, s := startDispatcher(t, test.end)
+			c, s := startDispatcher(t, test.end)
 			m := &fakeQuotas{verdict: test.verdict}
-			requireKeys(d, m)
-			w := sendWithHeader(d, "/once/1", key(secret))
+			requireKeys(c, m)
+			w := sendWithHeader(c, "/once/1", key(secret))
 			is.Equal(w.Code, test.status)
 			is.Equal(len(s.sent), test.sends)
 			is.Equal(m.returned, test.returned)
--- a/entry/internal/dispatcher/service.go
+++ b/entry/internal/dispatcher/service.go
@@ -42,77 +42,77 @@
 const maxHints = 16384
 
 // recordTarget notes where a request for an object is sent.
-func (s *serviceState) recordTarget(object, target string) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+func (g *serviceState) recordTarget(object, target string) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
 	if object == "" {
 		return
 	}
 	key := placer.ObjectOf(object)
-	if s.hints[key].target != target {
-		s.setHint(key, hint{target: target})
+	if g.hints[key].target != target {
+		g.setHint(key, hint{target: target})
 	}
 }
 
-func (s *serviceState) setHint(object uint64, h hint) {
-	if s.hints == nil || len(s.hints) >= maxHints {
-		s.hints = map[uint64]hint{}
+func (g *serviceState) setHint(object uint64, h hint) {
+	if g.hints == nil || len(g.hints) >= maxHints {
+		g.hints = map[uint64]hint{}
 	}
-	s.hints[object] = h
+	g.hints[object] = h
 }
 
 // cachePlace notes the answer of the instance that answers for an object.
-func (s *serviceState) cachePlace(now time.Time, object string, place placer.Place) {
+func (g *serviceState) cachePlace(now time.Time, object string, place placer.Place) {
 	if place.Target == "" || place.First || now.Before(place.WarmAt) {
 		return
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.setHint(placer.ObjectOf(object), hint{place.Target, now.Add(confirmationTTL)})
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.setHint(placer.ObjectOf(object), hint{place.Target, now.Add(confirmationTTL)})
 }
 
 // knownPlace is an object's place where that needs no question: as decided here, as told by the controllers, or as answered
 // lately.
-func (s *serviceState) knownPlace(now time.Time, object string, regions []string) (placer.Place, bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+func (g *serviceState) knownPlace(now time.Time, object string, regions []string) (placer.Place, bool) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
 	key := placer.ObjectOf(object)
-	if place, ok := s.placer.Known(now, key, regions); ok {
+	if place, ok := g.placer.Known(now, key, regions); ok {
 		return place, true
 	}
-	found := s.hints[key]
-	if !now.Before(found.confirmedUntil) || !s.placer.Holds(now, found.target, regions) {
+	found := g.hints[key]
+	if !now.Before(found.confirmedUntil) || !g.placer.Holds(now, found.target, regions) {
 		return placer.Place{}, false
 	}
 	return placer.Place{Target: found.target, Reason: "recent"}, true
 }
 
 // updateHost takes an object's place as the controllers tell it.
-func (s *serviceState) updateHost(now time.Time, h *wire.Host) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.placer.Learn(now, h.GetObject(), h.GetTarget(), h.GetRoute(), h.GetVersion())
+func (g *serviceState) updateHost(now time.Time, h *wire.Host) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.placer.Learn(now, h.GetObject(), h.GetTarget(), h.GetRoute(), h.GetVersion())
 }
 
 // updateLoads takes the loads of targets as the controllers tell them.
-func (s *serviceState) updateLoads(now time.Time, loads []aggregator.Reading) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.placer.Hear(now, loads)
+func (g *serviceState) updateLoads(now time.Time, loads []aggregator.Reading) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.placer.Hear(now, loads)
 }
 
 // balance returns the objects that move.
-func (s *serviceState) balance(now time.Time) []placer.Move {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.placer.Balance(now)
+func (g *serviceState) balance(now time.Time) []placer.Move {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return g.placer.Balance(now)
 }
 
 // lastTarget is where a request for an object was last sent, or empty.
-func (s *serviceState) lastTarget(object string) string {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.hints[placer.ObjectOf(object)].target
+func (g *serviceState) lastTarget(object string) string {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return g.hints[placer.ObjectOf(object)].target
 }
 
 func newServiceState(region, zone string) *serviceState {
@@ -120,15 +120,15 @@
 }
 
 // applyView fits the gate to a view, and returns the targets that get no more requests while some are there.
-func (s *serviceState) applyView(now time.Time, specs []placer.Spec, v *watcher.View, peers Locator, self int) []placer.Spec {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	withdrawn := s.placer.Update(now, specs, v.Entries)
-	if s.peers == nil || !slices.Equal(s.peers, v.Peers) {
-		s.peers = v.Peers
-		s.placer.Own(func(object uint64) bool { return peers.Owns(v.Peers, object) }, self, len(v.Peers))
+func (g *serviceState) applyView(now time.Time, specs []placer.Spec, v *watcher.View, peers Locator, self int) []placer.Spec {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	withdrawn := g.placer.Update(now, specs, v.Entries)
+	if g.peers == nil || !slices.Equal(g.peers, v.Peers) {
+		g.peers = v.Peers
+		g.placer.Own(func(object uint64) bool { return peers.Owns(v.Peers, object) }, self, len(v.Peers))
 	}
-	deliverDecisions(s.placer.Tick(now))
+	deliverDecisions(g.placer.Tick(now))
 	return withdrawn
 }
 
@@ -139,17 +139,17 @@
 	}
 }
 
-func (s *serviceState) tick(now time.Time) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	deliverDecisions(s.placer.Tick(now))
+func (g *serviceState) tick(now time.Time) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	deliverDecisions(g.placer.Tick(now))
 }
 
 // admit waits for the decision on a ticket; false means that the caller left first.
-func (s *serviceState) admit(ctx context.Context, t *placer.Ticket) (placer.Decision, bool) {
-	s.mu.Lock()
-	decision, decided := s.placer.Offer(time.Now(), t)
-	s.mu.Unlock()
+func (g *serviceState) admit(ctx context.Context, t *placer.Ticket) (placer.Decision, bool) {
+	g.mu.Lock()
+	decision, decided := g.placer.Offer(time.Now(), t)
+	g.mu.Unlock()
 	if decided {
 		return decision, true
 	}
@@ -158,44 +158,44 @@
 		return decision, true
 	case <-ctx.Done():
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.placer.Cancel(t) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if g.placer.Cancel(t) {
 		return placer.Decision{}, false
 	}
 	// It was placed at the same moment: the slot goes back.
 	if decision = <-t.Decided; decision.Target != nil {
-		deliverDecisions(s.placer.Done(time.Now(), decision.Target, placer.Outcome{}))
+		deliverDecisions(g.placer.Done(time.Now(), decision.Target, placer.Outcome{}))
 	}
 	return placer.Decision{}, false
 }
 
-func (s *serviceState) done(t *placer.Target, o placer.Outcome) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	deliverDecisions(s.placer.Done(time.Now(), t, o))
+func (g *serviceState) done(t *placer.Target, o placer.Outcome) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	deliverDecisions(g.placer.Done(time.Now(), t, o))
 }
 
 // assign says where a request for an object goes that this instance answers for.
-func (s *serviceState) assign(now time.Time, ask placer.Ask) placer.Place {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+func (g *serviceState) assign(now time.Time, ask placer.Ask) placer.Place {
+	g.mu.Lock()
+	defer g.mu.Unlock()
 	if ask.Hint == "" {
-		ask.Hint = s.hints[placer.ObjectOf(ask.Object)].target
+		ask.Hint = g.hints[placer.ObjectOf(ask.Object)].target
 	}
-	return s.placer.Assign(now, ask)
+	return g.placer.Assign(now, ask)
 }
 
 // countRequest notes a request that wants the service.
-func (s *serviceState) countRequest(now time.Time) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.budget.Ask(now)
+func (g *serviceState) countRequest(now time.Time) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.budget.Ask(now)
 }
 
 // spendRetry pays for a further arrival at the service's targets, if the budget allows it.
-func (s *serviceState) spendRetry(now time.Time, entries int) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.budget.Spend(now, entries)
+func (g *serviceState) spendRetry(now time.Time, entries int) bool {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return g.budget.Spend(now, entries)
 }
--- a/entry/internal/dispatcher/withdrawal.go
+++ b/entry/internal/dispatcher/withdrawal.go
@@ -51,11 +51,11 @@
 }
 
 // cancelUndelivered gives up what is still on its way to targets that were withdrawn.
-func (d *Dispatcher) cancelUndelivered(now time.Time) {
-	for _, w := range d.withdrawals.takeDue(now) {
-		count := d.Sender.CancelUndelivered(w.Address, now.Add(-minUndeliveredAge))
+func (c *Dispatcher) cancelUndelivered(now time.Time) {
+	for _, w := range c.withdrawals.takeDue(now) {
+		count := c.Sender.CancelUndelivered(w.Address, now.Add(-minUndeliveredAge))
 		if count > 0 {
-			_ = level.Info(d.Logger).Log("msg", "requests recalled", "target", w.Name, "zone", w.Zone, "requests", count)
+			_ = level.Info(c.Logger).Log("msg", "requests recalled", "target", w.Name, "zone", w.Zone, "requests", count)
 		}
 	}
 }
--- a/entry/internal/dispatcher/withdrawal_test.go
+++ b/entry/internal/dispatcher/withdrawal_test.go
@@ -18,16 +18,16 @@
 	for name, kept := range map[string]bool{"withdrawn": false, "kept": true} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			d, s := startDispatcher(t, scriptedAttempt{hang: true})
-			view := *d.Views.View()
+			c, s := startDispatcher(t, scriptedAttempt{hang: true})
+			view := *c.Views.View()
 			view.Table.Plan.Routes[1].Timeout = int64(3 * time.Second)
 			done := make(chan int, 1)
-			go func() { done <- sendRequest(d, http.MethodPost, "/once/1").Code }()
+			go func() { done <- sendRequest(c, http.MethodPost, "/once/1").Code }()
 			time.Sleep(50 * time.Millisecond)
 			if !kept {
 				view.Targets = map[string][]placer.Spec{}
 			}
-			d.ApplyView(&view)
+			c.ApplyView(&view)
 			is.Equal(s.countCancelCalls(), 0) // the last request may still be opening its connection
 			time.Sleep(undeliveredCheckDelay + 5*tickInterval)
 			is.Equal(s.countCancelCalls() > 0, !kept)
