--- a/core/aggregator/aggregator.go
+++ b/core/aggregator/aggregator.go
@@ -15,11 +15,11 @@
 )
 
 const (
-	// levelParts is how many levels a request per slot has, maxLevel the highest one.
-	levelParts = 16
-	maxLevel   = 255
-	// maxCollected bounds the targets of which an instance passes on reports at once.
-	maxCollected = 4096
+	// levelsPerUnit is how many levels a request per slot has, maxLevel the highest one.
+	levelsPerUnit = 16
+	maxLevel      = 255
+	// maxCollectedTargets bounds the targets of which an instance passes on reports at once.
+	maxCollectedTargets = 4096
 )
 
 // Reading is the load of one target.
@@ -52,13 +52,13 @@
 	n := min(len(m.GetTargets()), len(m.GetLevels()))
 	out := make([]Reading, 0, n)
 	for i := range n {
-		out = append(out, Reading{m.GetTargets()[i], float64(m.GetLevels()[i]) / levelParts})
+		out = append(out, Reading{m.GetTargets()[i], float64(m.GetLevels()[i]) / levelsPerUnit})
 	}
 	return out
 }
 
 func level(perSlot float64) byte {
-	return byte(min(maxLevel, max(0, perSlot)*levelParts+0.5))
+	return byte(min(maxLevel, max(0, perSlot)*levelsPerUnit+0.5))
 }
 
 // Collector averages what targets report to one entry instance until it is passed on. The zero value is ready; it is for
@@ -78,7 +78,7 @@
 		c.sums = map[uint32]sum{}
 	}
 	old, ok := c.sums[r.Target]
-	if !ok && len(c.sums) >= maxCollected {
+	if !ok && len(c.sums) >= maxCollectedTargets {
 		return
 	}
 	c.sums[r.Target] = sum{old.total + r.PerSlot, old.count + 1}
--- a/core/aggregator/aggregator_test.go
+++ b/core/aggregator/aggregator_test.go
@@ -14,14 +14,14 @@
 var start = time.Unix(1000, 0)
 
 // Guards against loads that instances hear rounded to nothing, or of a message cut short that ends the program.
-func TestReadingsSurviveTheWire(t *testing.T) {
+func TestEncodeAndDecode(t *testing.T) {
 	is := is.New(t)
 	in := []Reading{{1, 0}, {2, 0.5}, {3, 1.25}, {4, 100}}
 	out := Decode(Encode(in))
 	is.Equal(len(out), len(in))
 	for i := range in[:3] {
 		is.Equal(out[i].Target, in[i].Target)
-		is.True(math.Abs(out[i].PerSlot-in[i].PerSlot) <= 0.5/levelParts)
+		is.True(math.Abs(out[i].PerSlot-in[i].PerSlot) <= 0.5/levelsPerUnit)
 	}
 	is.True(out[3].PerSlot > 7)
 	is.Equal(len(Decode(&wire.Loads{Targets: []uint32{1, 2}, Levels: []byte{32}})), 1)
@@ -31,21 +31,21 @@
 
 // Guards against a target that holds three times its slots and is taken for an average one: two hundred instances each
 // hear of it once in many seconds, and together several times a second.
-func TestManyInstancesKnowABusyTarget(t *testing.T) {
+func TestBusyTargetIsSeenAcrossInstances(t *testing.T) {
 	is := is.New(t)
-	var here, other LoadTable
-	var passed time.Time
+	var local, other LoadTable
+	var lastExchange time.Time
 	now := start
 	for i := range 200 {
 		now = now.Add(20 * time.Millisecond)
 		var c Collector
 		c.Add(Reading{Key("busy"), 3})
 		c.Add(Reading{Key(fmt.Sprint("idle", i%50)), 0.25})
-		here.Record(now, c.Take(), true)
-		other.Record(now, here.Local(passed), false)
-		passed = now
+		local.Record(now, c.Take(), true)
+		other.Record(now, local.Local(lastExchange), false)
+		lastExchange = now
 	}
-	for _, g := range []*LoadTable{&here, &other} {
+	for _, g := range []*LoadTable{&local, &other} {
 		known := map[uint32]float64{}
 		for _, r := range g.Since(0) {
 			known[r.Target] = r.PerSlot
@@ -56,12 +56,12 @@
 	}
 	t.Run("only what changed is told", func(t *testing.T) {
 		is := is.New(t)
-		before := here.Counter()
-		here.Record(now, []Reading{{Key("idle7"), 4}}, true)
-		news := here.Since(before)
-		is.Equal(len(news), 1)
-		is.Equal(news[0].Target, Key("idle7"))
-		is.Equal(len(here.Since(here.Counter())), 0)
+		before := local.Counter()
+		local.Record(now, []Reading{{Key("idle7"), 4}}, true)
+		changes := local.Since(before)
+		is.Equal(len(changes), 1)
+		is.Equal(changes[0].Target, Key("idle7"))
+		is.Equal(len(local.Since(local.Counter())), 0)
 	})
-	t.Run("bounded", func(t *testing.T) { is.New(t).True(len(here.order) <= 2*len(here.known)+2) })
+	t.Run("bounded", func(t *testing.T) { is.New(t).True(len(local.changes) <= 2*len(local.targets)+2) })
 }
--- a/core/shifter/shifter.go
+++ b/core/shifter/shifter.go
@@ -5,17 +5,17 @@
 import "time"
 
 const (
-	// MeasureAge is how old a measure may be and still count.
-	MeasureAge = 5 * time.Second
-	// StageTime is how long a stage lasts at least.
-	StageTime = 5 * time.Second
+	// MaxMeasurementAge is how old a measure may be and still count.
+	MaxMeasurementAge = 5 * time.Second
+	// MinStageTime is how long a stage lasts at least.
+	MinStageTime = 5 * time.Second
 	// minSamples is how many answers a measure must rest on.
 	minSamples = 10
-	// badPercent of failures in the new region takes a stage back.
-	badPercent = 5
-	// slowParts: answers there may take up to this many times as long as here.
-	slowParts = 3
-	percent   = 100
+	// maxFailurePercent of failures in the new region takes a stage back.
+	maxFailurePercent = 5
+	// maxLatencyRatio: answers there may take up to this many times as long as here.
+	maxLatencyRatio = 3
+	percent         = 100
 )
 
 // Measurement compares the two regions over the last stage.
@@ -36,8 +36,8 @@
 	Stages int64
 
 	stage int64
-	// next is when the current stage may end.
-	next time.Time
+	// stageEnd is when the current stage may end.
+	stageEnd time.Time
 }
 
 // Percent returns the percentage to move at the moment.
@@ -49,33 +49,33 @@
 // Step looks at the newest measure and may change the stage; it reports whether it did.
 func (r *Ramp) Step(now time.Time, m Measurement) bool {
 	if r.stage == 0 {
-		return r.enter(now, 1)
+		return r.setStage(now, 1)
 	}
-	fresh := now.Sub(m.At) < MeasureAge && m.Answers >= minSamples
+	fresh := now.Sub(m.At) < MaxMeasurementAge && m.Answers >= minSamples
 	if !fresh {
 		// Measurements that stopped are no news: going on could bury the region, going back would
 		// throw traffic around for nothing.
 		return false
 	}
-	if m.bad() {
-		return r.enter(now, max(1, r.stage-1))
+	if m.unhealthy() {
+		return r.setStage(now, max(1, r.stage-1))
 	}
-	if now.Before(r.next) || r.stage >= r.Stages {
+	if now.Before(r.stageEnd) || r.stage >= r.Stages {
 		return false
 	}
-	return r.enter(now, r.stage+1)
+	return r.setStage(now, r.stage+1)
 }
 
-func (r *Ramp) enter(now time.Time, stage int64) bool {
+func (r *Ramp) setStage(now time.Time, stage int64) bool {
 	changed := stage != r.stage
 	r.stage = stage
-	r.next = now.Add(StageTime)
+	r.stageEnd = now.Add(MinStageTime)
 	return changed
 }
 
-func (m Measurement) bad() bool {
-	if m.Failures*percent > m.Answers*badPercent {
+func (m Measurement) unhealthy() bool {
+	if m.Failures*percent > m.Answers*maxFailurePercent {
 		return true
 	}
-	return m.OldLatency > 0 && m.NewLatency > slowParts*m.OldLatency
+	return m.OldLatency > 0 && m.NewLatency > maxLatencyRatio*m.OldLatency
 }
--- a/core/shifter/shifter_test.go
+++ b/core/shifter/shifter_test.go
@@ -9,7 +9,7 @@
 
 var start = time.Unix(1000, 0)
 
-func good(at time.Time) Measurement {
+func healthy(at time.Time) Measurement {
 	return Measurement{At: at, Answers: 100, NewLatency: 20 * time.Millisecond, OldLatency: 10 * time.Millisecond}
 }
 
@@ -22,26 +22,26 @@
 		is.Equal(r.Percent(), int64(10))
 	})
 	t.Run("waits for the stage's time", func(t *testing.T) {
-		is.New(t).True(!r.Step(now.Add(StageTime/2), good(now.Add(StageTime/2))))
+		is.New(t).True(!r.Step(now.Add(MinStageTime/2), healthy(now.Add(MinStageTime/2))))
 	})
 	t.Run("goes on after a good measure", func(t *testing.T) {
 		is := is.New(t)
-		now = now.Add(StageTime)
-		is.True(r.Step(now, good(now)))
+		now = now.Add(MinStageTime)
+		is.True(r.Step(now, healthy(now)))
 		is.Equal(r.Percent(), int64(20))
 	})
 	t.Run("goes back after a bad one", func(t *testing.T) {
 		is := is.New(t)
-		bad := good(now)
-		bad.Failures = 20
-		is.True(r.Step(now, bad))
+		unhealthy := healthy(now)
+		unhealthy.Failures = 20
+		is.True(r.Step(now, unhealthy))
 		is.Equal(r.Percent(), int64(10))
 	})
 	t.Run("ends at its part", func(t *testing.T) {
 		is := is.New(t)
 		for range 10 {
-			now = now.Add(StageTime)
-			r.Step(now, good(now))
+			now = now.Add(MinStageTime)
+			r.Step(now, healthy(now))
 		}
 		is.Equal(r.Percent(), int64(50))
 	})
@@ -49,15 +49,15 @@
 
 // Measurements stop arriving in the middle of a move. Going on blindly could bury cold caches; going back
 // would throw all traffic around once more for no reason.
-func TestStaleMeasureChangesNothing(t *testing.T) {
+func TestStaleMeasurementChangesNothing(t *testing.T) {
 	is := is.New(t)
 	r := Ramp{FinalPercent: 100, Stages: 4}
 	r.Step(start, Measurement{})
 	now := start.Add(time.Minute)
-	is.True(!r.Step(now, good(now.Add(-MeasureAge))))
-	bad := good(now.Add(-MeasureAge))
-	bad.Failures = 100
-	is.True(!r.Step(now, bad))
+	is.True(!r.Step(now, healthy(now.Add(-MaxMeasurementAge))))
+	unhealthy := healthy(now.Add(-MaxMeasurementAge))
+	unhealthy.Failures = 100
+	is.True(!r.Step(now, unhealthy))
 	is.Equal(r.Percent(), int64(25))
 }
 
@@ -65,9 +65,9 @@
 	is := is.New(t)
 	r := Ramp{FinalPercent: 100, Stages: 4}
 	r.Step(start, Measurement{})
-	now := start.Add(StageTime)
-	r.Step(now, good(now))
-	slow := good(now)
+	now := start.Add(MinStageTime)
+	r.Step(now, healthy(now))
+	slow := healthy(now)
 	slow.NewLatency = time.Second
 	is.True(r.Step(now, slow))
 	is.Equal(r.Stage(), int64(1))
--- a/entry/internal/dispatcher/attempt.go
+++ b/entry/internal/dispatcher/attempt.go
@@ -198,17 +198,17 @@
 		Target: t.Name, Organisation: j.organisation.GetName(), Deadline: j.deadline,
 	}, now)
 	return &pooler.Request{
-		Method: j.request.Method,
-		Path:   j.path(),
-		Host:   j.request.Host,
-		Header: header,
-		Body:   j.body,
-		Mine:   func(h http.Header) bool { return c.Codec.Reply(http.StatusOK, h).ID == j.call.ID },
+		Method:  j.request.Method,
+		Path:    j.path(),
+		Host:    j.request.Host,
+		Header:  header,
+		Body:    j.body,
+		Matches: func(h http.Header) bool { return c.Codec.Reply(http.StatusOK, h).ID == j.call.ID },
 	}
 }
 
 // classify decides what an answer is worth.
-func (c *Dispatcher) classify(j *job, a *pooler.Answer, sendOutcome pooler.Ending) (result, attemptState) {
+func (c *Dispatcher) classify(j *job, a *pooler.Answer, sendOutcome pooler.Outcome) (result, attemptState) {
 	switch sendOutcome {
 	case pooler.Unsent:
 		return result{}, unsent
@@ -250,7 +250,7 @@
 
 // loss is an attempt without an answer.
 type loss struct {
-	sendOutcome pooler.Ending
+	sendOutcome pooler.Outcome
 	err         error
 	// cancelled: the attempt's time was over or its caller had left.
 	cancelled bool
@@ -259,7 +259,7 @@
 
 // unacknowledged is how many bytes of the request the target's machine had not acknowledged.
 func (l *loss) unacknowledged() int {
-	var undelivered *pooler.HeldError
+	var undelivered *pooler.UndeliveredError
 	if errors.As(l.err, &undelivered) {
 		return undelivered.Bytes
 	}
--- a/entry/internal/dispatcher/dispatcher.go
+++ b/entry/internal/dispatcher/dispatcher.go
@@ -46,7 +46,7 @@
 
 // Sender carries requests to targets.
 type Sender interface {
-	Send(ctx context.Context, address netip.AddrPort, r *pooler.Request) (*pooler.Answer, pooler.Ending, error)
+	Send(ctx context.Context, address netip.AddrPort, r *pooler.Request) (*pooler.Answer, pooler.Outcome, error)
 	// CancelUndelivered gives up the requests that were sent to a target before a time and of which its machine has
 	// acknowledged nothing, and returns how many.
 	CancelUndelivered(address netip.AddrPort, before time.Time) int
--- a/entry/internal/dispatcher/dispatcher_test.go
+++ b/entry/internal/dispatcher/dispatcher_test.go
@@ -33,7 +33,7 @@
 type scriptedAttempt struct {
 	status  int
 	header  http.Header
-	outcome pooler.Ending
+	outcome pooler.Outcome
 	// hang keeps the attempt until its context ends.
 	hang bool
 }
@@ -56,7 +56,7 @@
 	cancelCalls int
 }
 
-func (s *fakeSender) Send(ctx context.Context, _ netip.AddrPort, r *pooler.Request) (*pooler.Answer, pooler.Ending, error) {
+func (s *fakeSender) Send(ctx context.Context, _ netip.AddrPort, r *pooler.Request) (*pooler.Answer, pooler.Outcome, error) {
 	s.mu.Lock()
 	s.sent = append(s.sent, r)
 	e := s.attempts[min(len(s.sent), len(s.attempts))-1]
@@ -202,8 +202,8 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			d, s := startDispatcher(t, c.attempts...)
-			w := sendRequest(d, http.MethodPost, c.path)
+			dispatcher, s := startDispatcher(t, c.attempts...)
+			w := sendRequest(dispatcher, http.MethodPost, c.path)
 			is.Equal(w.Code, c.status)
 			is.Equal(len(s.sent), c.sends)
 			if c.status == http.StatusServiceUnavailable {
--- a/entry/internal/dispatcher/service.go
+++ b/entry/internal/dispatcher/service.go
@@ -19,9 +19,9 @@
 
 // serviceState guards one service: its queue and slots, and its retry budget.
 type serviceState struct {
-	mu     sync.Mutex
-	placer placer.Placer
-	budget budgeter.Budget
+	mu        sync.Mutex
+	placement placer.Placer
+	budget    budgeter.Budget
 	// hints are the targets that objects' requests were last sent to.
 	hints map[uint64]hint
 	// peers are the instances of the region that answer for objects, this one among them.
@@ -77,11 +77,11 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	key := placer.ObjectOf(object)
-	if place, ok := g.placer.Known(now, key, regions); ok {
+	if place, ok := g.placement.Known(now, key, regions); ok {
 		return place, true
 	}
 	found := g.hints[key]
-	if !now.Before(found.confirmedUntil) || !g.placer.Holds(now, found.target, regions) {
+	if !now.Before(found.confirmedUntil) || !g.placement.Holds(now, found.target, regions) {
 		return placer.Place{}, false
 	}
 	return placer.Place{Target: found.target, Reason: "recent"}, true
@@ -91,21 +91,21 @@
 func (g *serviceState) updateHost(now time.Time, h *wire.Host) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.placer.Learn(now, h.GetObject(), h.GetTarget(), h.GetRoute(), h.GetVersion())
+	g.placement.Learn(now, h.GetObject(), h.GetTarget(), h.GetRoute(), h.GetVersion())
 }
 
 // updateLoads takes the loads of targets as the controllers tell them.
 func (g *serviceState) updateLoads(now time.Time, loads []aggregator.Reading) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.placer.Hear(now, loads)
+	g.placement.Hear(now, loads)
 }
 
 // balance returns the objects that move.
 func (g *serviceState) balance(now time.Time) []placer.Move {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.placer.Balance(now)
+	return g.placement.Balance(now)
 }
 
 // lastTarget is where a request for an object was last sent, or empty.
@@ -116,19 +116,19 @@
 }
 
 func newServiceState(region, zone string) *serviceState {
-	return &serviceState{placer: placer.Placer{Region: region, Zone: zone, Far: regionRoundTrip}}
+	return &serviceState{placement: placer.Placer{Region: region, Zone: zone, Far: regionRoundTrip}}
 }
 
 // applyView fits the gate to a view, and returns the targets that get no more requests while some are there.
 func (g *serviceState) applyView(now time.Time, specs []placer.Spec, v *watcher.View, peers Locator, self int) []placer.Spec {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	withdrawn := g.placer.Update(now, specs, v.Entries)
+	withdrawn := g.placement.Update(now, specs, v.Entries)
 	if g.peers == nil || !slices.Equal(g.peers, v.Peers) {
 		g.peers = v.Peers
-		g.placer.Own(func(object uint64) bool { return peers.Owns(v.Peers, object) }, self, len(v.Peers))
+		g.placement.Own(func(object uint64) bool { return peers.Owns(v.Peers, object) }, self, len(v.Peers))
 	}
-	deliverDecisions(g.placer.Tick(now))
+	deliverDecisions(g.placement.Tick(now))
 	return withdrawn
 }
 
@@ -142,13 +142,13 @@
 func (g *serviceState) tick(now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	deliverDecisions(g.placer.Tick(now))
+	deliverDecisions(g.placement.Tick(now))
 }
 
 // admit waits for the decision on a ticket; false means that the caller left first.
 func (g *serviceState) admit(ctx context.Context, t *placer.Ticket) (placer.Decision, bool) {
 	g.mu.Lock()
-	decision, decided := g.placer.Offer(time.Now(), t)
+	decision, decided := g.placement.Offer(time.Now(), t)
 	g.mu.Unlock()
 	if decided {
 		return decision, true
@@ -160,12 +160,12 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.placer.Cancel(t) {
+	if g.placement.Cancel(t) {
 		return placer.Decision{}, false
 	}
 	// It was placed at the same moment: the slot goes back.
 	if decision = <-t.Decided; decision.Target != nil {
-		deliverDecisions(g.placer.Done(time.Now(), decision.Target, placer.Outcome{}))
+		deliverDecisions(g.placement.Done(time.Now(), decision.Target, placer.Outcome{}))
 	}
 	return placer.Decision{}, false
 }
@@ -173,7 +173,7 @@
 func (g *serviceState) done(t *placer.Target, o placer.Outcome) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	deliverDecisions(g.placer.Done(time.Now(), t, o))
+	deliverDecisions(g.placement.Done(time.Now(), t, o))
 }
 
 // assign says where a request for an object goes that this instance answers for.
@@ -183,7 +183,7 @@
 	if ask.Hint == "" {
 		ask.Hint = g.hints[placer.ObjectOf(ask.Object)].target
 	}
-	return g.placer.Assign(now, ask)
+	return g.placement.Assign(now, ask)
 }
 
 // countRequest notes a request that wants the service.
--- a/entry/internal/dispatcher/withdrawal_test.go
+++ b/entry/internal/dispatcher/withdrawal_test.go
@@ -42,16 +42,16 @@
 		err    error
 		losses int
 	}{
-		"on its way": {&pooler.HeldError{Address: netip.MustParseAddrPort("127.0.0.1:1"), Bytes: 9, Err: http.ErrHandlerTimeout}, 0},
+		"on its way": {&pooler.UndeliveredError{Address: netip.MustParseAddrPort("127.0.0.1:1"), Bytes: 9, Err: http.ErrHandlerTimeout}, 0},
 		"arrived":    {http.ErrHandlerTimeout, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			d, _ := startDispatcher(t, scriptedAttempt{})
+			dispatcher, _ := startDispatcher(t, scriptedAttempt{})
 			j := &job{fingerprint: quarantiner.Fingerprint{1}}
 			target := &placer.Target{Spec: placer.Spec{Name: "t1", Incarnation: 1}}
-			d.recordLoss(j, target, loss{sendOutcome: pooler.Broken, err: c.err})
-			is.Equal(d.Quarantine.Losses(time.Now(), j.fingerprint), c.losses)
+			dispatcher.recordLoss(j, target, loss{sendOutcome: pooler.Broken, err: c.err})
+			is.Equal(dispatcher.Quarantine.Losses(time.Now(), j.fingerprint), c.losses)
 		})
 	}
 }
--- a/entry/internal/pooler/abandon_test.go
+++ b/entry/internal/pooler/cancel_test.go
@@ -17,19 +17,19 @@
 )
 
 const (
-	// room is the receive buffer of a target's machine that takes little, in bytes.
-	room = 4 << 10
-	// large is a body that does not fit there and fits into the send buffer here, in bytes.
-	large = 24 << 10
+	// receiveBuffer is the receive buffer of a target's machine that takes little, in bytes.
+	receiveBuffer = 4 << 10
+	// bodySize is a body that does not fit there and fits into the send buffer here, in bytes.
+	bodySize = 24 << 10
 )
 
-// lazy is a target that reads nothing until it is told to, and then tells how much it got.
-func lazy(t *testing.T, begin <-chan struct{}) (netip.AddrPort, <-chan int) {
+// startSlowTarget is a target that reads nothing until it is told to, and then tells how much it got.
+func startSlowTarget(t *testing.T, start <-chan struct{}) (netip.AddrPort, <-chan int) {
 	t.Helper()
 	small := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
 		var failure error
 		err := c.Control(func(fd uintptr) {
-			failure = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_RCVBUF, room)
+			failure = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_RCVBUF, receiveBuffer)
 		})
 		return errors.Join(err, failure)
 	}}
@@ -43,7 +43,7 @@
 			return
 		}
 		defer c.Close()
-		<-begin
+		<-start
 		r, err := http.ReadRequest(bufio.NewReader(c))
 		if err != nil {
 			got <- 0
@@ -57,18 +57,18 @@
 
 // Guards against requests that reach their target seconds after they were given up: the kernel goes on sending what was
 // written before a close in order.
-func TestGivenUpRequestNeverArrives(t *testing.T) {
+func TestCancelledRequestIsNotDelivered(t *testing.T) {
 	is := is.New(t)
-	begin := make(chan struct{})
-	address, got := lazy(t, begin)
+	start := make(chan struct{})
+	address, got := startSlowTarget(t, start)
 	ctx, cancel := context.WithTimeout(t.Context(), 200*time.Millisecond)
 	defer cancel()
 	p := &Pooler{}
-	r := request(string(make([]byte, large)))
-	_, ending, err := p.Send(ctx, address, r)
-	is.Equal(ending, Broken)
+	r := request(string(make([]byte, bodySize)))
+	_, outcome, err := p.Send(ctx, address, r)
+	is.Equal(outcome, Broken)
 	is.True(err != nil)
 	time.Sleep(100 * time.Millisecond)
-	close(begin)
-	is.True(<-got < large)
+	close(start)
+	is.True(<-got < bodySize)
 }
--- a/entry/internal/pooler/idle.go
+++ b/entry/internal/pooler/idle.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// keepAlive is how long a connection may stay idle after an answer: less than the target says it keeps it open, for
+// idleTimeout is how long a connection may stay idle after an answer: less than the target says it keeps it open, for
 // a request that crosses the target's close can't be repeated if it may run only once.
-func keepAlive(h http.Header) time.Duration {
+func idleTimeout(h http.Header) time.Duration {
 	for _, part := range strings.Split(h.Get("Keep-Alive"), ",") {
 		text, found := strings.CutPrefix(strings.TrimSpace(part), "timeout=")
 		if seconds, err := strconv.Atoi(text); found && err == nil {
-			return min(idleLife, time.Duration(seconds)*time.Second/2)
+			return min(maxIdleTime, time.Duration(seconds)*time.Second/2)
 		}
 	}
-	return idleLife
+	return maxIdleTime
 }
--- a/entry/internal/pooler/flight.go
+++ b/entry/internal/pooler/pending.go
@@ -8,25 +8,25 @@
 	"chervilrail.example/core/prober"
 )
 
-// flight is a request at a target or on its way there.
-type flight struct {
+// pendingRequest is a request at a target or on its way there.
+type pendingRequest struct {
 	bytes   int
 	started time.Time
 }
 
-func (p *Pooler) launch(c *conn, bytes int) {
+func (p *Pooler) addPending(c *conn, bytes int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.flights == nil {
-		p.flights = map[*conn]flight{}
+	if p.pending == nil {
+		p.pending = map[*conn]pendingRequest{}
 	}
-	p.flights[c] = flight{bytes: bytes, started: time.Now()}
+	p.pending[c] = pendingRequest{bytes: bytes, started: time.Now()}
 }
 
-func (p *Pooler) land(c *conn) {
+func (p *Pooler) removePending(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	delete(p.flights, c)
+	delete(p.pending, c)
 }
 
 // CancelUndelivered gives up the requests that were sent to a target before a time and of which its machine has acknowledged
@@ -35,11 +35,11 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	count := 0
-	for c, f := range p.flights {
+	for c, f := range p.pending {
 		if c.address != address || !f.started.Before(before) {
 			continue
 		}
-		if held, ok := prober.Unacknowledged(c.Conn); ok && held >= f.bytes {
+		if unacknowledged, ok := prober.Unacknowledged(c.Conn); ok && unacknowledged >= f.bytes {
 			_ = c.SetDeadline(time.Unix(1, 0))
 			count++
 		}
@@ -47,8 +47,8 @@
 	return count
 }
 
-// HeldError says that a request was given up before the target's machine had all of it.
-type HeldError struct {
+// UndeliveredError says that a request was given up before the target's machine had all of it.
+type UndeliveredError struct {
 	Address netip.AddrPort
 	// Bytes is how much was written and not acknowledged.
 	Bytes int
@@ -57,18 +57,18 @@
 }
 
 // Error implements error.
-func (e *HeldError) Error() string {
+func (e *UndeliveredError) Error() string {
 	return strconv.Itoa(e.Bytes) + " bytes on the way to " + e.Address.String() + ": " + e.Err.Error()
 }
 
 // Unwrap returns how the attempt ended.
-func (e *HeldError) Unwrap() error { return e.Err }
+func (e *UndeliveredError) Unwrap() error { return e.Err }
 
-// held tells of bytes that the target's machine has not acknowledged at the end of a failed attempt.
-func (c *conn) held(err error) error {
+// wrapUndelivered tells of bytes that the target's machine has not acknowledged at the end of a failed attempt.
+func (c *conn) wrapUndelivered(err error) error {
 	bytes, ok := prober.Unacknowledged(c.Conn)
 	if !ok || bytes == 0 {
 		return err
 	}
-	return &HeldError{Address: c.address, Bytes: bytes, Err: err}
+	return &UndeliveredError{Address: c.address, Bytes: bytes, Err: err}
 }
--- /dev/null
+++ b/entry/internal/pooler/pending_test.go
@@ -0,0 +1,115 @@
+package pooler
+
+import (
+	"context"
+	"net"
+	"net/netip"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+	"golang.org/x/sys/unix"
+)
+
+// cuttableTarget is a target that keeps its connections, so that the way to it can be cut.
+type cuttableTarget struct {
+	*fakeTarget
+	mu   sync.Mutex
+	open []*net.TCPConn
+}
+
+// startCuttableTarget starts a target whose n-th answer on a connection is sent by answer.
+func startCuttableTarget(t *testing.T, answer func(c net.Conn, n int)) *cuttableTarget {
+	t.Helper()
+	k := &cuttableTarget{}
+	k.fakeTarget = startTarget(t, func(c net.Conn, n int) {
+		if socket, ok := c.(*net.TCPConn); ok && n == 1 {
+			k.mu.Lock()
+			k.open = append(k.open, socket)
+			k.mu.Unlock()
+		}
+		answer(c, n)
+	})
+	return k
+}
+
+// setCut makes the target's machine drop, or take again, what arrives on the connections that were used so far.
+func (k *cuttableTarget) setCut(t *testing.T, on bool) {
+	t.Helper()
+	is := is.New(t)
+	drop := []unix.SockFilter{{Code: unix.BPF_RET | unix.BPF_K}}
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	for _, c := range k.open {
+		raw, err := c.SyscallConn()
+		is.NoErr(err)
+		is.NoErr(raw.Control(func(fd uintptr) {
+			if on {
+				err = unix.SetsockoptSockFprog(int(fd), unix.SOL_SOCKET, unix.SO_ATTACH_FILTER,
+					&unix.SockFprog{Len: uint16(len(drop)), Filter: &drop[0]})
+				return
+			}
+			err = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_DETACH_FILTER, 0)
+		}))
+		is.NoErr(err)
+	}
+}
+
+// sendAsync sends a request and returns where its ending will be.
+func sendAsync(t *testing.T, p *Pooler, address netip.AddrPort) <-chan Outcome {
+	t.Helper()
+	outcomes := make(chan Outcome, 1)
+	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
+	t.Cleanup(cancel)
+	go func() {
+		_, outcome, _ := p.Send(ctx, address, request("hello"))
+		outcomes <- outcome
+	}()
+	return outcomes
+}
+
+// settleTime is longer than a request takes to a target here, and than the kernel waits before it first sends again.
+const settleTime = 300 * time.Millisecond
+
+// Guards against requests that reach a target long after it was withdrawn, when a cut on the way there ends.
+func TestUndeliveredRequestIsCancelled(t *testing.T) {
+	is := is.New(t)
+	k := startCuttableTarget(t, func(c net.Conn, _ int) { write(c, completeAnswer) })
+	p := &Pooler{}
+	defer p.Close()
+	_, outcome := send(t, p, k.fakeTarget)
+	is.Equal(outcome, Answered)
+	k.setCut(t, true)
+	outcomes := sendAsync(t, p, k.address)
+	time.Sleep(settleTime)
+	recalled := time.Now()
+	is.Equal(p.CancelUndelivered(k.address, recalled), 1)
+	is.Equal(<-outcomes, Broken)
+	is.True(time.Since(recalled) < time.Second) // long before its deadline
+	k.setCut(t, false)
+	time.Sleep(3 * settleTime)
+	is.Equal(k.read.Load(), int32(1))
+	is.Equal(p.CancelUndelivered(k.address, time.Now()), 0)
+}
+
+// Guards against requests that are taken from a target which is at work on them, or that are too new to tell.
+func TestDeliveredOrNewRequestsAreNotCancelled(t *testing.T) {
+	is := is.New(t)
+	k := startCuttableTarget(t, func(c net.Conn, n int) { time.Sleep(time.Duration(n-1) * 2 * settleTime); write(c, completeAnswer) })
+	p := &Pooler{}
+	defer p.Close()
+	_, outcome := send(t, p, k.fakeTarget)
+	is.Equal(outcome, Answered)
+	began := time.Now()
+	outcomes := sendAsync(t, p, k.address)
+	time.Sleep(settleTime)
+	is.Equal(p.CancelUndelivered(k.address, time.Now()), 0)
+	is.Equal(<-outcomes, Answered)
+	k.setCut(t, true)
+	outcomes = sendAsync(t, p, k.address)
+	time.Sleep(settleTime)
+	is.Equal(p.CancelUndelivered(k.address, began), 0)
+	k.setCut(t, false)
+	is.Equal(<-outcomes, Answered)
+}
--- a/entry/internal/pooler/pooler.go
+++ b/entry/internal/pooler/pooler.go
@@ -24,25 +24,25 @@
 	// dialTimeout bounds the opening of a connection: a round trip between regions, and room for a busy target.
 	// After it the request has certainly not run and can go elsewhere.
 	dialTimeout = 400 * time.Millisecond
-	// idleLife is how long a connection is kept without use. Targets close idle ones after some seconds, and a
+	// maxIdleTime is how long a connection is kept without use. Targets close idle ones after some seconds, and a
 	// request that crosses such a close may not be repeated; so ours is well below.
-	idleLife = 4 * time.Second
+	maxIdleTime = 4 * time.Second
 	// maxIdle is how many idle connections to one target are kept.
 	maxIdle = 8
-	// keepBody is the largest answer that is held back until it is whole.
-	keepBody = 8 << 20
-	// maxStrays is how many answers to other requests are skipped before a connection is given up.
-	maxStrays  = 2
-	bufferSize = 4 << 10
+	// maxAnswerSize is the largest answer that is held back until it is whole.
+	maxAnswerSize = 8 << 20
+	// maxUnexpectedAnswers is how many answers to other requests are skipped before a connection is given up.
+	maxUnexpectedAnswers = 2
+	bufferSize           = 4 << 10
 )
 
-// Ending is how a request at a target ended.
-type Ending int
+// Outcome is how a request at a target ended.
+type Outcome int
 
 // The endings.
 const (
 	// Answered: a whole answer to this request came.
-	Answered Ending = iota
+	Answered Outcome = iota
 	// Unsent: no byte of the request left.
 	Unsent
 	// Broken: it may have run; no whole answer came.
@@ -57,8 +57,8 @@
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Mine reports whether an answer's head belongs to this request.
-	Mine func(h http.Header) bool
+	// Matches reports whether an answer's head belongs to this request.
+	Matches func(h http.Header) bool
 }
 
 // Answer is a target's whole answer.
@@ -72,8 +72,8 @@
 type Pooler struct {
 	mu   sync.Mutex
 	idle map[netip.AddrPort][]*conn
-	// flights are the requests that wait for their answers.
-	flights map[*conn]flight
+	// pending are the requests that wait for their answers.
+	pending map[*conn]pendingRequest
 }
 
 type conn struct {
@@ -81,12 +81,12 @@
 	reader  *bufio.Reader
 	address netip.AddrPort
 	fresh   bool
-	// idleEnd is until when the connection may be used again.
-	idleEnd time.Time
+	// idleUntil is until when the connection may be used again.
+	idleUntil time.Time
 }
 
 // Send carries a request to a target and returns its answer, at the latest when ctx ends.
-func (p *Pooler) Send(ctx context.Context, address netip.AddrPort, r *Request) (*Answer, Ending, error) {
+func (p *Pooler) Send(ctx context.Context, address netip.AddrPort, r *Request) (*Answer, Outcome, error) {
 	c, err := p.open(ctx, address)
 	if err != nil {
 		return nil, Unsent, err
@@ -95,22 +95,22 @@
 		_ = c.SetDeadline(deadline)
 	}
 	stop := context.AfterFunc(ctx, func() { _ = c.SetDeadline(time.Unix(1, 0)) })
-	text := encode(r)
-	p.launch(c, len(text))
-	answer, ending, err := c.carry(r, text)
-	p.land(c)
+	encoded := encode(r)
+	p.addPending(c, len(encoded))
+	answer, outcome, err := c.roundTrip(r, encoded)
+	p.removePending(c)
 	done := stop()
-	if ending != Answered {
-		err = c.held(err)
+	if outcome != Answered {
+		err = c.wrapUndelivered(err)
 		_ = resetter.Reset(c.Conn)
-		return nil, ending, err
+		return nil, outcome, err
 	}
 	if !done || !c.reusable(answer) {
 		_ = c.Close()
-		return answer, ending, nil
+		return answer, outcome, nil
 	}
 	p.put(c, answer)
-	return answer, ending, nil
+	return answer, outcome, nil
 }
 
 func (p *Pooler) open(ctx context.Context, address netip.AddrPort) (*conn, error) {
@@ -119,7 +119,7 @@
 		if c == nil {
 			break
 		}
-		if time.Now().Before(c.idleEnd) && prober.Quiet(c.Conn) {
+		if time.Now().Before(c.idleUntil) && prober.Quiet(c.Conn) {
 			return c, nil
 		}
 		_ = c.Close()
@@ -148,7 +148,7 @@
 	// The deadline of the last request would make the connection look broken before the next.
 	_ = c.SetDeadline(time.Time{})
 	c.fresh = false
-	c.idleEnd = time.Now().Add(keepAlive(a.Header))
+	c.idleUntil = time.Now().Add(idleTimeout(a.Header))
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.idle == nil {
@@ -179,7 +179,7 @@
 	for address, list := range p.idle {
 		var rest []*conn
 		for _, c := range list {
-			if now.Before(c.idleEnd) {
+			if now.Before(c.idleUntil) {
 				rest = append(rest, c)
 				continue
 			}
@@ -204,25 +204,25 @@
 	}
 }
 
-// carry writes the request and reads its answer.
-func (c *conn) carry(r *Request, text []byte) (*Answer, Ending, error) {
-	n, err := c.Write(text)
+// roundTrip writes the request and reads its answer.
+func (c *conn) roundTrip(r *Request, encoded []byte) (*Answer, Outcome, error) {
+	n, err := c.Write(encoded)
 	if err != nil {
 		if n == 0 && c.fresh {
 			return nil, Unsent, err
 		}
 		return nil, Broken, err
 	}
-	for range maxStrays + 1 {
+	for range maxUnexpectedAnswers + 1 {
 		answer, err := c.read(r)
 		if err != nil {
 			return nil, Broken, err
 		}
-		if r.Mine(answer.Header) {
+		if r.Matches(answer.Header) {
 			return answer, Answered, nil
 		}
 	}
-	return nil, Broken, &StrayError{Address: c.address}
+	return nil, Broken, &UnexpectedAnswerError{Address: c.address}
 }
 
 // encode writes a request as bytes. The body is sent with its length, however the caller sent it.
@@ -247,13 +247,13 @@
 		if err != nil {
 			return nil, err
 		}
-		body, err := io.ReadAll(io.LimitReader(response.Body, keepBody+1))
+		body, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerSize+1))
 		_ = response.Body.Close()
 		if err != nil {
 			return nil, err
 		}
-		if len(body) > keepBody {
-			return nil, &SizeError{Address: c.address}
+		if len(body) > maxAnswerSize {
+			return nil, &AnswerTooLargeError{Address: c.address}
 		}
 		if response.StatusCode < http.StatusOK {
 			continue
@@ -271,20 +271,22 @@
 	return a.Header.Get("Connection") != "close" && c.reader.Buffered() == 0
 }
 
-// StrayError says that a connection brought answers to other requests only.
-type StrayError struct{ Address netip.AddrPort }
+// UnexpectedAnswerError says that a connection brought answers to other requests only.
+type UnexpectedAnswerError struct{ Address netip.AddrPort }
 
 // Error implements error.
-func (e *StrayError) Error() string { return "answers to other requests from " + e.Address.String() }
+func (e *UnexpectedAnswerError) Error() string {
+	return "answers to other requests from " + e.Address.String()
+}
 
-// SizeError says that an answer is larger than is held.
-type SizeError struct{ Address netip.AddrPort }
+// AnswerTooLargeError says that an answer is larger than is held.
+type AnswerTooLargeError struct{ Address netip.AddrPort }
 
 // Error implements error.
-func (e *SizeError) Error() string { return "too large an answer from " + e.Address.String() }
+func (e *AnswerTooLargeError) Error() string { return "too large an answer from " + e.Address.String() }
 
-// Refused reports whether an error shows that nothing listens at the address.
-func Refused(err error) bool {
+// DialFailed reports whether an error shows that nothing listens at the address.
+func DialFailed(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
--- a/entry/internal/pooler/pooler_test.go
+++ b/entry/internal/pooler/pooler_test.go
@@ -13,20 +13,20 @@
 	"github.com/matryer/is"
 )
 
-// script is a target that reads whole requests and answers the n-th of a connection with bytes that the test sets.
-type script struct {
+// fakeTarget is a target that reads whole requests and answers the n-th of a connection with bytes that the test sets.
+type fakeTarget struct {
 	address netip.AddrPort
 	// accepted counts connections, read counts requests.
 	accepted atomic.Int32
 	read     atomic.Int32
 }
 
-func serve(t *testing.T, answer func(c net.Conn, n int)) *script {
+func startTarget(t *testing.T, answer func(c net.Conn, n int)) *fakeTarget {
 	t.Helper()
 	socket, err := net.Listen("tcp", "127.0.0.1:0")
 	is.New(t).NoErr(err)
 	t.Cleanup(func() { _ = socket.Close() })
-	s := &script{address: netip.MustParseAddrPort(socket.Addr().String())}
+	s := &fakeTarget{address: netip.MustParseAddrPort(socket.Addr().String())}
 	go func() {
 		for {
 			c, err := socket.Accept()
@@ -34,13 +34,13 @@
 				return
 			}
 			s.accepted.Add(1)
-			go s.talk(c, answer)
+			go s.serveConnection(c, answer)
 		}
 	}()
 	return s
 }
 
-func (s *script) talk(c net.Conn, answer func(c net.Conn, n int)) {
+func (s *fakeTarget) serveConnection(c net.Conn, answer func(c net.Conn, n int)) {
 	reader := bufio.NewReader(c)
 	for n := 1; ; n++ {
 		r, err := http.ReadRequest(reader)
@@ -59,44 +59,44 @@
 
 func write(c net.Conn, text string) { _, _ = c.Write([]byte(text)) }
 
-const whole = "HTTP/1.1 200 OK\r\nId: mine\r\nContent-Length: 4\r\n\r\nbody"
+const completeAnswer = "HTTP/1.1 200 OK\r\nId: mine\r\nContent-Length: 4\r\n\r\nbody"
 
 func request(body string) *Request {
 	return &Request{
 		Method: http.MethodPost, Path: "/x?a=%2F", Host: "h.example", Header: http.Header{"K": {"v"}}, Body: []byte(body),
-		Mine: func(h http.Header) bool { return h.Get("Id") == "mine" },
+		Matches: func(h http.Header) bool { return h.Get("Id") == "mine" },
 	}
 }
 
-func send(t *testing.T, p *Pooler, s *script) (*Answer, Ending) {
+func send(t *testing.T, p *Pooler, s *fakeTarget) (*Answer, Outcome) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 500*time.Millisecond)
 	defer cancel()
-	a, ending, _ := p.Send(ctx, s.address, request("hello"))
-	return a, ending
+	a, outcome, _ := p.Send(ctx, s.address, request("hello"))
+	return a, outcome
 }
 
-func TestConnectionIsUsedAgain(t *testing.T) {
+func TestConnectionIsReused(t *testing.T) {
 	is := is.New(t)
-	s := serve(t, func(c net.Conn, _ int) { write(c, whole) })
+	s := startTarget(t, func(c net.Conn, _ int) { write(c, completeAnswer) })
 	p := &Pooler{}
 	defer p.Close()
 	for range 5 {
-		a, ending := send(t, p, s)
-		is.Equal(ending, Answered)
+		a, outcome := send(t, p, s)
+		is.Equal(outcome, Answered)
 		is.Equal(string(a.Body), "body")
 		// The former request's deadline passes; it must not make the connection look broken.
 		time.Sleep(20 * time.Millisecond)
 	}
 	time.Sleep(600 * time.Millisecond)
-	_, ending := send(t, p, s)
-	is.Equal(ending, Answered)
+	_, outcome := send(t, p, s)
+	is.Equal(outcome, Answered)
 	is.Equal(s.accepted.Load(), int32(1))
 }
 
 // The target breaks off, in each of the ways that are seen of broken ones. None may look like a whole answer: the
 // caller would take half a page, or another caller's, for its own.
-func TestBrokenAnswersAreNeverWhole(t *testing.T) {
+func TestIncompleteAnswersAreBroken(t *testing.T) {
 	cases := map[string]func(c net.Conn, n int){
 		"cut in the body": func(c net.Conn, _ int) {
 			write(c, "HTTP/1.1 200 OK\r\nId: mine\r\nContent-Length: 40\r\n\r\nbody")
@@ -126,11 +126,11 @@
 	for name, answer := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			s := serve(t, answer)
+			s := startTarget(t, answer)
 			p := &Pooler{}
 			defer p.Close()
-			_, ending := send(t, p, s)
-			is.Equal(ending, Broken)
+			_, outcome := send(t, p, s)
+			is.Equal(outcome, Broken)
 			is.Equal(s.read.Load(), int32(1)) // and it was never sent again
 			is.Equal(len(p.idle), 0)
 		})
@@ -139,48 +139,48 @@
 
 // A target answers a request twice. The second answer waits where the next request's is expected, and its caller
 // would get it.
-func TestExtraAnswers(t *testing.T) {
+func TestUnexpectedAnswers(t *testing.T) {
 	t.Run("at once", func(t *testing.T) {
 		is := is.New(t)
-		s := serve(t, func(c net.Conn, n int) {
-			write(c, whole)
+		s := startTarget(t, func(c net.Conn, n int) {
+			write(c, completeAnswer)
 			if n == 1 {
-				write(c, whole)
+				write(c, completeAnswer)
 			}
 		})
 		p := &Pooler{}
 		defer p.Close()
-		_, ending := send(t, p, s)
-		is.Equal(ending, Answered)
+		_, outcome := send(t, p, s)
+		is.Equal(outcome, Answered)
 		time.Sleep(20 * time.Millisecond)
-		_, ending = send(t, p, s)
-		is.Equal(ending, Answered)
+		_, outcome = send(t, p, s)
+		is.Equal(outcome, Answered)
 		is.Equal(s.accepted.Load(), int32(2))
 	})
 	t.Run("late", func(t *testing.T) {
 		is := is.New(t)
-		s := serve(t, func(c net.Conn, n int) {
+		s := startTarget(t, func(c net.Conn, n int) {
 			if n == 2 {
 				write(c, "HTTP/1.1 200 OK\r\nId: former\r\nContent-Length: 5\r\n\r\nwrong")
 			}
-			write(c, whole)
+			write(c, completeAnswer)
 		})
 		p := &Pooler{}
 		defer p.Close()
-		_, ending := send(t, p, s)
-		is.Equal(ending, Answered)
-		a, ending := send(t, p, s)
-		is.Equal(ending, Answered)
+		_, outcome := send(t, p, s)
+		is.Equal(outcome, Answered)
+		a, outcome := send(t, p, s)
+		is.Equal(outcome, Answered)
 		is.Equal(string(a.Body), "body")
 	})
 }
 
 // A target closes a connection that was idle. Noticed only when the next request is on its way, one that must not
 // repeat would end in doubt.
-func TestClosedIdleConnectionIsNotUsed(t *testing.T) {
+func TestClosedIdleConnectionIsNotReused(t *testing.T) {
 	is := is.New(t)
-	s := serve(t, func(c net.Conn, n int) {
-		write(c, whole)
+	s := startTarget(t, func(c net.Conn, n int) {
+		write(c, completeAnswer)
 		if n == 1 {
 			time.Sleep(10 * time.Millisecond)
 			_ = c.Close()
@@ -188,42 +188,42 @@
 	})
 	p := &Pooler{}
 	defer p.Close()
-	_, ending := send(t, p, s)
-	is.Equal(ending, Answered)
+	_, outcome := send(t, p, s)
+	is.Equal(outcome, Answered)
 	time.Sleep(50 * time.Millisecond)
-	_, ending = send(t, p, s)
-	is.Equal(ending, Answered)
+	_, outcome = send(t, p, s)
+	is.Equal(outcome, Answered)
 	is.Equal(s.accepted.Load(), int32(2))
 }
 
-func TestNobodyListening(t *testing.T) {
+func TestRefusedConnectionIsUnsent(t *testing.T) {
 	socket, err := net.Listen("tcp", "127.0.0.1:0")
 	is := is.New(t)
 	is.NoErr(err)
 	address := netip.MustParseAddrPort(socket.Addr().String())
 	is.NoErr(socket.Close())
-	_, ending, err := (&Pooler{}).Send(context.Background(), address, request(""))
-	is.Equal(ending, Unsent)
-	is.True(Refused(err))
+	_, outcome, err := (&Pooler{}).Send(context.Background(), address, request(""))
+	is.Equal(outcome, Unsent)
+	is.True(DialFailed(err))
 }
 
 // The caller leaves while the target is at work. The connection is closed, so that the target stops.
-func TestCancelEndsTheWork(t *testing.T) {
+func TestCancelClosesTheConnection(t *testing.T) {
 	is := is.New(t)
-	s := serve(t, func(c net.Conn, _ int) { time.Sleep(5 * time.Second); write(c, whole) })
+	s := startTarget(t, func(c net.Conn, _ int) { time.Sleep(5 * time.Second); write(c, completeAnswer) })
 	ctx, cancel := context.WithCancel(context.Background())
 	time.AfterFunc(50*time.Millisecond, cancel)
 	started := time.Now()
 	p := &Pooler{}
-	_, ending, _ := p.Send(ctx, s.address, request(""))
-	is.Equal(ending, Broken)
+	_, outcome, _ := p.Send(ctx, s.address, request(""))
+	is.Equal(outcome, Broken)
 	is.True(time.Since(started) < time.Second)
 	is.Equal(len(p.idle), 0)
 }
 
-func TestKeepAliveOfTheTargetIsHalved(t *testing.T) {
+func TestIdleTimeoutIsHalfOfTheTargets(t *testing.T) {
 	is := is.New(t)
-	is.Equal(keepAlive(http.Header{"Keep-Alive": {"timeout=2, max=9"}}), time.Second)
-	is.Equal(keepAlive(http.Header{"Keep-Alive": {"timeout=100"}}), idleLife)
-	is.Equal(keepAlive(http.Header{}), idleLife)
+	is.Equal(idleTimeout(http.Header{"Keep-Alive": {"timeout=2, max=9"}}), time.Second)
+	is.Equal(idleTimeout(http.Header{"Keep-Alive": {"timeout=100"}}), maxIdleTime)
+	is.Equal(idleTimeout(http.Header{}), maxIdleTime)
 }
