--- a/entry/internal/dispatcher/dispatcher.go
+++ b/entry/internal/dispatcher/dispatcher.go
@@ -28,7 +28,8 @@
 )
 
 const (
-	// tickInterval is how often queued requests are re-examined when no other event does so.
+	// tickInterval is how often queued requests are re-examined when no other event does so; Stop and awaitView poll at
+	// the same interval.
 	tickInterval  = 20 * time.Millisecond
 	sweepInterval = time.Second
 	// firstPlanTimeout bounds the time a request waits for the first plan.
@@ -56,7 +57,7 @@
 	Close()
 }
 
-// Locator finds the target that keeps an object warm, with the other entry instances of the region.
+// Locator finds the target that keeps an object warm, together with the other entry instances of the region.
 type Locator interface {
 	Locate(ctx context.Context, peers []locator.Peer, service string, ask placer.Ask) placer.Place
 	Owns(peers []locator.Peer, object uint64) bool
--- a/entry/internal/dispatcher/dispatcher_test.go
+++ b/entry/internal/dispatcher/dispatcher_test.go
@@ -29,12 +29,12 @@
 	"chervilrail.example/platform/translator"
 )
 
-// scriptedAttempt is how a scripted attempt ends.
+// scriptedAttempt is the outcome of one attempt, set by a test.
 type scriptedAttempt struct {
 	status  int
 	header  http.Header
 	outcome pooler.Outcome
-	// hang keeps the attempt until its context ends.
+	// hang blocks the attempt until its context ends.
 	hang bool
 }
 
@@ -46,13 +46,13 @@
 	return scriptedAttempt{status: status, header: http.Header{translator.HeaderUnrun: {"1"}}}
 }
 
-// fakeSender answers each attempt with the next end of its script.
+// fakeSender gives each attempt the next scripted outcome; the last one repeats.
 type fakeSender struct {
 	mu        sync.Mutex
 	attempts  []scriptedAttempt
 	sent      []*pooler.Request
 	cancelled int
-	// cancelCalls counts the calls of Recall.
+	// cancelCalls counts the calls of CancelUndelivered.
 	cancelCalls int
 }
 
@@ -95,7 +95,7 @@
 
 type fakeViews struct{ view atomic.Pointer[watcher.View] }
 
-// viewsWith returns views of which the newest is known.
+// viewsWith returns fake views of which view is the latest.
 func viewsWith(view *watcher.View) *fakeViews {
 	v := &fakeViews{}
 	v.view.Store(view)
@@ -107,7 +107,7 @@
 func (v *fakeViews) Settle(*wire.Host)          {}
 func (v *fakeViews) Observe(aggregator.Reading) {}
 
-// soleInstance is the only entry instance of its region; it knows no object.
+// soleInstance is a Locator for the only entry instance of a region; it assigns no object.
 type soleInstance struct{}
 
 func (soleInstance) Locate(context.Context, []locator.Peer, string, placer.Ask) placer.Place {
@@ -167,8 +167,8 @@
 	return w
 }
 
-// Targets end a request in every way there is. What may run only once is never sent again after it may have run, and
-// is called not run only where that is certain; what may repeat gets another target.
+// Covers every outcome of an attempt. A request that is not idempotent is never sent again after it may have been
+// executed, and is reported as not executed only if that is certain; an idempotent one is retried at another target.
 func TestAttemptOutcomes(t *testing.T) {
 	broken := scriptedAttempt{outcome: pooler.Broken}
 	unsent := scriptedAttempt{outcome: pooler.Unsent}
@@ -182,21 +182,21 @@
 		status   int
 		sends    int
 	}{
-		{"once answered", "/once/1", []scriptedAttempt{signedAnswer(200)}, 200, 1},
-		{"once broken off", "/once/1", []scriptedAttempt{broken, signedAnswer(200)}, 502, 1},
-		{"once not reached", "/once/1", []scriptedAttempt{unsent, signedAnswer(200)}, 200, 2},
-		{"once refused by a target", "/once/1", []scriptedAttempt{notExecutedAnswer(503), signedAnswer(200)}, 200, 2},
-		{"once refused by two", "/once/1", []scriptedAttempt{notExecutedAnswer(503), notExecutedAnswer(503), signedAnswer(200)}, 503, 2},
-		{"once at another's address", "/once/1", []scriptedAttempt{{status: 421, header: http.Header{}}, signedAnswer(200)}, 200, 2},
-		{"once failed", "/once/1", []scriptedAttempt{signedAnswer(500)}, 500, 1},
-		{"once unavailable without a word of not having run", "/once/1", []scriptedAttempt{signedAnswer(503), signedAnswer(200)}, 502, 1},
-		{"once without a signature", "/once/1", []scriptedAttempt{bare, signedAnswer(200)}, 502, 1},
-		{"safe broken off", "/safe/1", []scriptedAttempt{broken, signedAnswer(200)}, 200, 2},
-		{"safe broken off twice", "/safe/1", []scriptedAttempt{broken, broken, signedAnswer(200)}, 502, 2},
-		{"safe without a signature", "/safe/1", []scriptedAttempt{bare, signedAnswer(200)}, 200, 2},
-		{"safe with an encoding", "/safe/1", []scriptedAttempt{encoded, signedAnswer(200)}, 200, 2},
-		// The first target may have run it, so the second one's word is not enough to say that it has not run.
-		{"safe broken off, then refused by a target", "/safe/1", []scriptedAttempt{broken, notExecutedAnswer(503)}, 502, 2},
+		{"once, answered", "/once/1", []scriptedAttempt{signedAnswer(200)}, 200, 1},
+		{"once, connection broken", "/once/1", []scriptedAttempt{broken, signedAnswer(200)}, 502, 1},
+		{"once, target not reached", "/once/1", []scriptedAttempt{unsent, signedAnswer(200)}, 200, 2},
+		{"once, not executed by a target", "/once/1", []scriptedAttempt{notExecutedAnswer(503), signedAnswer(200)}, 200, 2},
+		{"once, not executed by two targets", "/once/1", []scriptedAttempt{notExecutedAnswer(503), notExecutedAnswer(503), signedAnswer(200)}, 503, 2},
+		{"once, misdirected", "/once/1", []scriptedAttempt{{status: 421, header: http.Header{}}, signedAnswer(200)}, 200, 2},
+		{"once, failed", "/once/1", []scriptedAttempt{signedAnswer(500)}, 500, 1},
+		{"once, unavailable without the not-executed header", "/once/1", []scriptedAttempt{signedAnswer(503), signedAnswer(200)}, 502, 1},
+		{"once, without a signature", "/once/1", []scriptedAttempt{bare, signedAnswer(200)}, 502, 1},
+		{"safe, connection broken", "/safe/1", []scriptedAttempt{broken, signedAnswer(200)}, 200, 2},
+		{"safe, connection broken twice", "/safe/1", []scriptedAttempt{broken, broken, signedAnswer(200)}, 502, 2},
+		{"safe, without a signature", "/safe/1", []scriptedAttempt{bare, signedAnswer(200)}, 200, 2},
+		{"safe, with a content encoding", "/safe/1", []scriptedAttempt{encoded, signedAnswer(200)}, 200, 2},
+		// The first target may have executed it, so the second target's not-executed header does not settle that it was not.
+		{"safe, connection broken, then not executed by a target", "/safe/1", []scriptedAttempt{broken, notExecutedAnswer(503)}, 502, 2},
 		{"no route", "/other/1", []scriptedAttempt{signedAnswer(200)}, 404, 0},
 	}
 	for _, c := range cases {
@@ -213,7 +213,8 @@
 	}
 }
 
-// The first target broke off and may have run the request; no other is left to send it to. "Not run" would be untrue.
+// The connection to the first target breaks, so it may have executed the request, and no other target is left. Guards
+// against an answer that says the request was not executed.
 func TestUncertainAttemptIsNotReportedAsNotExecuted(t *testing.T) {
 	is := is.New(t)
 	c, s := startDispatcher(t, scriptedAttempt{outcome: pooler.Broken})
@@ -225,7 +226,7 @@
 	is.Equal(len(s.sent), 1)
 }
 
-// A target does not answer in time. The caller gets the final answer at its route's time-out and no later.
+// A target does not answer in time. The caller gets the final answer shortly after the route's time-out.
 func TestTimeout(t *testing.T) {
 	is := is.New(t)
 	c, s := startDispatcher(t, scriptedAttempt{hang: true})
@@ -236,8 +237,8 @@
 	is.Equal(len(s.sent), 1)
 }
 
-// The caller leaves. Work that may repeat ends at once; what may run only once goes on, since ended halfway it would
-// leave a booking in doubt.
+// The caller disconnects. An idempotent request is cancelled at once; any other continues, because cancelled halfway it
+// would leave a booking in doubt.
 func TestCallerDisconnects(t *testing.T) {
 	for path, ended := range map[string]bool{"/safe/1": true, "/once/1": false} {
 		t.Run(path, func(t *testing.T) {
@@ -256,8 +257,8 @@
 	}
 }
 
-// A target is handed the time that is left, not the time that the caller had, and works on nothing that nobody waits
-// for. It is named, so that another one at its address refuses.
+// A target receives the time that is left, not the time that the caller set, so that it does not work on a request that
+// nobody waits for. The request names the target, so that another one at its address refuses it.
 func TestOutgoingRequest(t *testing.T) {
 	is := is.New(t)
 	c, s := startDispatcher(t, signedAnswer(200))
@@ -269,11 +270,11 @@
 	is.True(strings.HasPrefix(sent.Header.Get(translator.HeaderTarget), "t"))
 	left, err := strconv.Atoi(sent.Header.Get(translator.HeaderDeadline))
 	is.NoErr(err)
-	is.True(left > 200 && left <= 300) // the route's time-out is shorter than the caller's wait
+	is.True(left > 200 && left <= 300) // the route's time-out is shorter than the caller's deadline
 }
 
-// A request crashes each target that runs it, and its caller sends it again and again. After the third it is refused
-// before it reaches another.
+// A request crashes each target that executes it, and its caller keeps retrying. After the third crash it is refused
+// without reaching another target.
 func TestCrashingRequestIsQuarantined(t *testing.T) {
 	is := is.New(t)
 	c, s := startDispatcher(t, scriptedAttempt{outcome: pooler.Broken})
@@ -291,10 +292,10 @@
 	c, _ := startDispatcher(t, signedAnswer(200))
 	c.Views = &fakeViews{}
 	w := sendRequest(c, http.MethodPost, "/once/1")
-	is.Equal(w.Code, http.StatusServiceUnavailable) // never 404: what is not known may exist
+	is.Equal(w.Code, http.StatusServiceUnavailable) // never 404: a route that is not known yet may exist
 }
 
-// Guards against callers that are refused by an instance which is named to them and knows the plan a moment later.
+// Guards against refusing callers that are sent to an instance which gets its first plan a moment later.
 func TestRequestsWaitForTheFirstPlan(t *testing.T) {
 	is := is.New(t)
 	c, _ := startDispatcher(t, signedAnswer(200))
@@ -305,7 +306,7 @@
 	is.Equal(sendRequest(c, http.MethodPost, "/once/1").Code, http.StatusOK)
 }
 
-// An instance is being stopped. Requests are still served, and each answer sends its caller elsewhere.
+// While an instance is stopping, requests are still served, and each answer closes its caller's connection.
 func TestStopping(t *testing.T) {
 	is := is.New(t)
 	c, _ := startDispatcher(t, signedAnswer(200))
--- a/entry/internal/dispatcher/metrics.go
+++ b/entry/internal/dispatcher/metrics.go
@@ -73,7 +73,7 @@
 	m.labelled.Store(&labelled)
 }
 
-// organisationLabel is the label of an organisationLabel, empty where none is known.
+// organisationLabel returns the label of an organisation; empty if name is empty.
 func (m *Metrics) organisationLabel(name string) string {
 	if labelled := m.labelled.Load(); name == "" || labelled != nil && (*labelled)[name] {
 		return name
--- a/entry/internal/dispatcher/organisation_test.go
+++ b/entry/internal/dispatcher/organisation_test.go
@@ -22,7 +22,7 @@
 	"chervilrail.example/platform/translator"
 )
 
-// fakeQuotas answers for every request what it is set to, and counts.
+// fakeQuotas gives every request the same verdict and counts the calls.
 type fakeQuotas struct {
 	verdict  quoter.Verdict
 	admitted []string
@@ -37,7 +37,8 @@
 
 const secret = "s3cret"
 
-// requireKeys makes the carrier's plan need keys: acme's is secret, bound may only be served in region q, where no target is.
+// requireKeys gives the dispatcher a plan that requires keys. The key of acme is secret; bound may be served only in region
+// q, which has no target.
 func requireKeys(c *Dispatcher, m *fakeQuotas) {
 	c.Quotas = m
 	view := *c.Views.View()
@@ -71,7 +72,7 @@
 
 func key(text string) http.Header { return http.Header{translator.HeaderSecret: {text}} }
 
-// Guards against requests that run without a key that some organisation holds, and against keys that are refused.
+// Guards against requests that are served without the key of an organisation, and against valid keys that are refused.
 func TestKeys(t *testing.T) {
 	cases := []struct {
 		name         string
@@ -83,13 +84,13 @@
 		{"known", "/once/1", key(secret), 200, "acme"},
 		{"unknown", "/once/1", key("guess"), 401, ""},
 		{"missing", "/once/1", http.Header{}, 401, ""},
-		{"with more than the key", "/once/1", key("Bearer " + secret), 401, ""},
+		{"with a prefix", "/once/1", key("Bearer " + secret), 401, ""},
 		{"twice", "/once/1", http.Header{translator.HeaderSecret: {secret, secret}}, 401, ""},
 		{"megabytes", "/once/1", key(strings.Repeat("x", 1<<20)), 401, ""},
 		{"none on a public route", "/public/1", http.Header{}, 200, ""},
 		{"unknown on a public route", "/public/1", key("guess"), 200, ""},
 		{"known on a public route", "/public/1", key(secret), 200, "acme"},
-		{"unknown without a route", "/other/1", key("guess"), 404, ""},
+		{"unknown key, no route", "/other/1", key("guess"), 404, ""},
 		{"a forged organisation", "/once/1", http.Header{
 			translator.HeaderSecret: {secret}, translator.HeaderTenant: {"other"},
 		}, 200, "acme"},
@@ -110,7 +111,7 @@
 	}
 }
 
-// Guards against a key in the log.
+// Guards against keys in the log.
 func TestNoKeyIsLogged(t *testing.T) {
 	is := is.New(t)
 	c, _ := startDispatcher(t, signedAnswer(200))
@@ -125,13 +126,14 @@
 	is.True(!strings.Contains(out.String(), "guess"))
 }
 
-// Guards against requests that run outside the regions of their organisation or route, also where no region is left.
+// Guards against requests that are served outside the regions of their organisation or route, also if no region is in
+// both.
 func TestRegionsOfAnOrganisation(t *testing.T) {
 	is := is.New(t)
 	c, s := startDispatcher(t, signedAnswer(200))
 	requireKeys(c, &fakeQuotas{})
-	is.Equal(sendWithHeader(c, "/home/1", key("bound")).Code, http.StatusServiceUnavailable) // no region is in both
-	is.Equal(sendWithHeader(c, "/once/1", key("bound")).Code, http.StatusServiceUnavailable) // no target there
+	is.Equal(sendWithHeader(c, "/home/1", key("bound")).Code, http.StatusServiceUnavailable) // organisation and route have no region in common
+	is.Equal(sendWithHeader(c, "/once/1", key("bound")).Code, http.StatusServiceUnavailable) // no target in the region
 	is.Equal(len(s.sent), 0)
 	view := *c.Views.View()
 	view.Targets = map[string][]placer.Spec{"listings": append(view.Targets["listings"], placer.Spec{
@@ -142,7 +144,7 @@
 	is.Equal(s.sent[0].Header.Get(translator.HeaderTarget), "far")
 }
 
-// Guards against a metric for each of a hundred thousand organisations.
+// Guards against a metric series for each of a hundred thousand organisations.
 func TestOnlyLargestOrganisationsHaveMetricLabels(t *testing.T) {
 	is := is.New(t)
 	registry := prometheus.NewRegistry()
@@ -167,7 +169,8 @@
 	is.Equal(m.organisationLabel("1"), others)
 }
 
-// Guards against quotas that are spent by requests which have not run, and against refusals that say nothing of when to return.
+// Guards against quota that is spent by requests which were not executed, and against refusals without a Retry-After
+// header.
 func TestQuotas(t *testing.T) {
 	later := time.Now().Add(time.Second)
 	cases := []struct {
@@ -180,8 +183,8 @@
 	}{
 		{"granted", quoter.Verdict{}, signedAnswer(200), 200, 1, 0},
 		{"granted and failed", quoter.Verdict{}, signedAnswer(500), 500, 1, 0},
-		{"granted and broken off", quoter.Verdict{}, scriptedAttempt{outcome: pooler.Broken}, 502, 1, 0},
-		{"granted and not run", quoter.Verdict{}, notExecutedAnswer(503), 503, 2, 1},
+		{"granted and connection broken", quoter.Verdict{}, scriptedAttempt{outcome: pooler.Broken}, 502, 1, 0},
+		{"granted and not executed", quoter.Verdict{}, notExecutedAnswer(503), 503, 2, 1},
 		{"exceeded", quoter.Verdict{Outcome: quoter.Exceeded, Retry: later}, signedAnswer(200), 429, 0, 0},
 		{"lacking", quoter.Verdict{Outcome: quoter.Lacking, Retry: later}, signedAnswer(200), 503, 0, 0},
 		{"unknown", quoter.Verdict{Outcome: quoter.Unknown, Retry: later}, signedAnswer(200), 503, 0, 0},
--- a/entry/internal/dispatcher/overdue.go
+++ b/entry/internal/dispatcher/overdue.go
@@ -27,7 +27,7 @@
 type runningRequest struct {
 	target  string
 	started time.Time
-	// warm is how long a run takes there, tellAt when the request is next told of.
+	// warm is how long a warm run is expected to take, reportAt when the request is next reported as overdue.
 	warm     time.Duration
 	reportAt time.Time
 }
--- a/entry/internal/dispatcher/routes.go
+++ b/entry/internal/dispatcher/routes.go
@@ -11,7 +11,8 @@
 const (
 	// serviceTimeSmoothing: the newest service time of a route has the weight 1/serviceTimeSmoothing.
 	serviceTimeSmoothing = 8
-	// coldDecreaseSmoothing is the weight of a shorter cold time; coldLeap bounds what one slow target can add.
+	// coldDecreaseSmoothing is the same for a cold time below the mean. maxColdIncrease limits a cold time to this
+	// multiple of the mean, which bounds the effect of one slow target.
 	coldDecreaseSmoothing = 64
 	maxColdIncrease       = 3
 	// warmThreshold: a service time below this fraction of the cold one shows that the target had the object warm.
@@ -45,7 +46,7 @@
 	return state
 }
 
-// nextService names the service of a route's nextService request.
+// nextService returns the service of a route's next request.
 func (s *routes) nextService(r *wire.Route) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/entry/internal/dispatcher/withdrawal_test.go
+++ b/entry/internal/dispatcher/withdrawal_test.go
@@ -13,7 +13,8 @@
 	"chervilrail.example/entry/internal/pooler"
 )
 
-// Guards against requests on their way to a target that was withdrawn, and against giving up those of one that stays.
+// Guards against leaving undelivered requests to a withdrawn target in flight, and against cancelling those to a target
+// that stays.
 func TestUndeliveredRequestsToWithdrawnTargetAreCancelled(t *testing.T) {
 	for name, kept := range map[string]bool{"withdrawn": false, "kept": true} {
 		t.Run(name, func(t *testing.T) {
@@ -36,13 +37,13 @@
 	}
 }
 
-// Guards against requests that are refused as dangerous since targets that never got them could not be reached.
+// Guards against quarantining requests because of targets that were unreachable and never received them.
 func TestUndeliveredRequestIsNotSuspect(t *testing.T) {
 	for name, c := range map[string]struct {
 		err    error
 		losses int
 	}{
-		"on its way": {&pooler.UndeliveredError{Address: netip.MustParseAddrPort("127.0.0.1:1"), Bytes: 9, Err: http.ErrHandlerTimeout}, 0},
+		"undelivered bytes": {&pooler.UndeliveredError{Address: netip.MustParseAddrPort("127.0.0.1:1"), Bytes: 9, Err: http.ErrHandlerTimeout}, 0},
 		"arrived":    {http.ErrHandlerTimeout, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
