--- a/entry/internal/dispatcher/dispatcher_test.go
+++ b/entry/internal/dispatcher/dispatcher_test.go
@@ -195,7 +195,8 @@
 		{"safe, connection broken twice", "/safe/1", []scriptedAttempt{broken, broken, signedAnswer(200)}, 502, 2},
 		{"safe, without a signature", "/safe/1", []scriptedAttempt{bare, signedAnswer(200)}, 200, 2},
 		{"safe, with a content encoding", "/safe/1", []scriptedAttempt{encoded, signedAnswer(200)}, 200, 2},
-		// The first target may have executed it, so the second target's not-executed header does not settle that it was not.
+		// The first target may have executed it, so the second target's not-executed header does not settle that it was
+		// not.
 		{"safe, connection broken, then not executed by a target", "/safe/1", []scriptedAttempt{broken, notExecutedAnswer(503)}, 502, 2},
 		{"no route", "/other/1", []scriptedAttempt{signedAnswer(200)}, 404, 0},
 	}
