--- a/entry/internal/pooler/cancel_test.go
+++ b/entry/internal/pooler/cancel_test.go
@@ -17,13 +17,14 @@
 )
 
 const (
-	// receiveBuffer is the receive buffer of a target's machine that takes little, in bytes.
+	// receiveBuffer is the size of the target's small receive buffer, in bytes.
 	receiveBuffer = 4 << 10
-	// bodySize is a body that does not fit there and fits into the send buffer here, in bytes.
+	// bodySize is the size of a body that fits into the local send buffer but not into receiveBuffer, in bytes.
 	bodySize = 24 << 10
 )
 
-// startSlowTarget is a target that reads nothing until it is told to, and then tells how much it got.
+// startSlowTarget starts a target that reads nothing until start is closed; the channel then gets the number of body bytes
+// it received.
 func startSlowTarget(t *testing.T, start <-chan struct{}) (netip.AddrPort, <-chan int) {
 	t.Helper()
 	small := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
@@ -55,8 +56,8 @@
 	return netip.MustParseAddrPort(socket.Addr().String()), got
 }
 
-// Guards against requests that reach their target seconds after they were given up: the kernel goes on sending what was
-// written before a close in order.
+// Guards against requests that reach their target seconds after they were cancelled: after a graceful close, the kernel
+// continues to send what was written before.
 func TestCancelledRequestIsNotDelivered(t *testing.T) {
 	is := is.New(t)
 	start := make(chan struct{})
--- a/entry/internal/pooler/idle.go
+++ b/entry/internal/pooler/idle.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// idleTimeout is how long a connection may stay idle after an answer: less than the target says it keeps it open, for
-// a request that crosses the target's close can't be repeated if it may run only once.
+// idleTimeout returns how long a connection may stay idle after an answer: at most half of the time-out that the target
+// announces, because a request that crosses the target's close can't be retried unless it is idempotent.
 func idleTimeout(h http.Header) time.Duration {
 	for _, part := range strings.Split(h.Get("Keep-Alive"), ",") {
 		text, found := strings.CutPrefix(strings.TrimSpace(part), "timeout=")
--- a/entry/internal/pooler/pending.go
+++ b/entry/internal/pooler/pending.go
@@ -8,7 +8,7 @@
 	"chervilrail.example/core/prober"
 )
 
-// pendingRequest is a request at a target or on its way there.
+// pendingRequest is a request in flight: bytes is its size, started when its sending began.
 type pendingRequest struct {
 	bytes   int
 	started time.Time
@@ -29,8 +29,8 @@
 	delete(p.pending, c)
 }
 
-// CancelUndelivered gives up the requests that were sent to a target before a time and of which its machine has acknowledged
-// nothing, and returns how many. Their attempts end as broken.
+// CancelUndelivered cancels the requests that were sent to a target before a time and of which the target's TCP stack has
+// acknowledged nothing, and returns their number. Their attempts end as Broken.
 func (p *Pooler) CancelUndelivered(address netip.AddrPort, before time.Time) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -47,24 +47,25 @@
 	return count
 }
 
-// UndeliveredError says that a request was given up before the target's machine had all of it.
+// UndeliveredError reports that an attempt ended before the target's TCP stack had acknowledged the whole request.
 type UndeliveredError struct {
 	Address netip.AddrPort
-	// Bytes is how much was written and not acknowledged.
+	// Bytes is the number of bytes that were written and not acknowledged.
 	Bytes int
-	// Err is how the attempt ended.
+	// Err is the error with which the attempt ended.
 	Err error
 }
 
 // Error implements error.
 func (e *UndeliveredError) Error() string {
-	return strconv.Itoa(e.Bytes) + " bytes on the way to " + e.Address.String() + ": " + e.Err.Error()
+	return strconv.Itoa(e.Bytes) + " bytes not delivered to " + e.Address.String() + ": " + e.Err.Error()
 }
 
-// Unwrap returns how the attempt ended.
+// Unwrap returns the error with which the attempt ended.
 func (e *UndeliveredError) Unwrap() error { return e.Err }
 
-// wrapUndelivered tells of bytes that the target's machine has not acknowledged at the end of a failed attempt.
+// wrapUndelivered returns the error of a failed attempt, wrapped in an UndeliveredError if the target's TCP stack has not
+// acknowledged all bytes.
 func (c *conn) wrapUndelivered(err error) error {
 	bytes, ok := prober.Unacknowledged(c.Conn)
 	if !ok || bytes == 0 {
--- a/entry/internal/pooler/pending_test.go
+++ b/entry/internal/pooler/pending_test.go
@@ -12,14 +12,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// cuttableTarget is a target that keeps its connections, so that the way to it can be cut.
+// cuttableTarget is a target that records its connections, so that the network path to it can be cut.
 type cuttableTarget struct {
 	*fakeTarget
 	mu   sync.Mutex
 	open []*net.TCPConn
 }
 
-// startCuttableTarget starts a target whose n-th answer on a connection is sent by answer.
+// startCuttableTarget starts a target that calls answer for the n-th request on a connection.
 func startCuttableTarget(t *testing.T, answer func(c net.Conn, n int)) *cuttableTarget {
 	t.Helper()
 	k := &cuttableTarget{}
@@ -34,7 +34,7 @@
 	return k
 }
 
-// setCut makes the target's machine drop, or take again, what arrives on the connections that were used so far.
+// setCut makes the kernel drop, or accept again, all packets that arrive on the target's connections opened so far.
 func (k *cuttableTarget) setCut(t *testing.T, on bool) {
 	t.Helper()
 	is := is.New(t)
@@ -56,7 +56,7 @@
 	}
 }
 
-// sendAsync sends a request and returns where its ending will be.
+// sendAsync sends a request and returns the channel that gets its outcome.
 func sendAsync(t *testing.T, p *Pooler, address netip.AddrPort) <-chan Outcome {
 	t.Helper()
 	outcomes := make(chan Outcome, 1)
@@ -69,10 +69,10 @@
 	return outcomes
 }
 
-// settleTime is longer than a request takes to a target here, and than the kernel waits before it first sends again.
+// settleTime is longer than a request takes to a local target, and than the kernel's first retransmission time-out.
 const settleTime = 300 * time.Millisecond
 
-// Guards against requests that reach a target long after it was withdrawn, when a cut on the way there ends.
+// Guards against requests that reach a target long after it was withdrawn, when a network partition ends.
 func TestUndeliveredRequestIsCancelled(t *testing.T) {
 	is := is.New(t)
 	k := startCuttableTarget(t, func(c net.Conn, _ int) { write(c, completeAnswer) })
@@ -93,7 +93,7 @@
 	is.Equal(p.CancelUndelivered(k.address, time.Now()), 0)
 }
 
-// Guards against requests that are taken from a target which is at work on them, or that are too new to tell.
+// Guards against cancelling requests that a target is executing, or that are too new to tell whether they were delivered.
 func TestDeliveredOrNewRequestsAreNotCancelled(t *testing.T) {
 	is := is.New(t)
 	k := startCuttableTarget(t, func(c net.Conn, n int) { time.Sleep(time.Duration(n-1) * 2 * settleTime); write(c, completeAnswer) })
--- a/entry/internal/pooler/pooler.go
+++ b/entry/internal/pooler/pooler.go
@@ -1,6 +1,6 @@
-// Package pooler keeps connections to targets and carries one request at a time on each. Unlike the standard
-// library's client it never sends a request again by itself, knows whether a byte of it may have left, and spends no
-// goroutine on a connection.
+// Package pooler pools connections to targets; each carries one request at a time. Unlike the standard library's client,
+// it never retries a request by itself, knows whether a byte of it may have left, and needs no goroutine for a
+// connection.
 package pooler
 
 import (
@@ -21,35 +21,35 @@
 )
 
 const (
-	// dialTimeout bounds the opening of a connection: a round trip between regions, and room for a busy target.
-	// After it the request has certainly not run and can go elsewhere.
+	// dialTimeout bounds the opening of a connection: a round trip between regions, with a margin for a busy target.
+	// After it the request has certainly not been executed and can be sent to another target.
 	dialTimeout = 400 * time.Millisecond
-	// maxIdleTime is how long a connection is kept without use. Targets close idle ones after some seconds, and a
-	// request that crosses such a close may not be repeated; so ours is well below.
+	// maxIdleTime is how long an idle connection is kept. It is well below the few seconds after which targets close
+	// idle connections, because a request that crosses such a close may not be retryable.
 	maxIdleTime = 4 * time.Second
-	// maxIdle is how many idle connections to one target are kept.
+	// maxIdle limits the idle connections kept to one target.
 	maxIdle = 8
-	// maxAnswerSize is the largest answer that is held back until it is whole.
+	// maxAnswerSize is the size of the largest answer body, in bytes: an answer is buffered until it is complete.
 	maxAnswerSize = 8 << 20
-	// maxUnexpectedAnswers is how many answers to other requests are skipped before a connection is given up.
+	// maxUnexpectedAnswers is how many answers to other requests are skipped before the request counts as broken.
 	maxUnexpectedAnswers = 2
 	bufferSize           = 4 << 10
 )
 
-// Outcome is how a request at a target ended.
+// Outcome is how an attempt to send a request to a target ended.
 type Outcome int
 
-// The endings.
+// The outcomes.
 const (
-	// Answered: a whole answer to this request came.
+	// Answered: a complete answer to this request was received.
 	Answered Outcome = iota
-	// Unsent: no byte of the request left.
+	// Unsent: no byte of the request was sent.
 	Unsent
-	// Broken: it may have run; no whole answer came.
+	// Broken: no complete answer was received; the target may have executed the request.
 	Broken
 )
 
-// Request is what is sent to a target.
+// Request is a request to a target.
 type Request struct {
 	Method string
 	// Path is the path and query exactly as the caller sent them.
@@ -57,22 +57,22 @@
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Matches reports whether an answer's head belongs to this request.
+	// Matches reports whether an answer with these headers belongs to this request.
 	Matches func(h http.Header) bool
 }
 
-// Answer is a target's whole answer.
+// Answer is a complete answer of a target.
 type Answer struct {
 	Status int
 	Header http.Header
 	Body   []byte
 }
 
-// Pooler holds the connections. Its zero value is ready.
+// Pooler holds the idle connections and the requests in flight. Its zero value is ready; it is safe for concurrent use.
 type Pooler struct {
 	mu   sync.Mutex
 	idle map[netip.AddrPort][]*conn
-	// pending are the requests that wait for their answers.
+	// pending are the requests in flight, by their connections.
 	pending map[*conn]pendingRequest
 }
 
@@ -81,11 +81,12 @@
 	reader  *bufio.Reader
 	address netip.AddrPort
 	fresh   bool
-	// idleUntil is until when the connection may be used again.
+	// idleUntil is the time until which the idle connection may be reused.
 	idleUntil time.Time
 }
 
-// Send carries a request to a target and returns its answer, at the latest when ctx ends.
+// Send sends a request to a target and returns its answer. It returns at the latest when ctx ends. A failed attempt
+// resets its connection; the error is an *UndeliveredError if bytes of the request were not acknowledged.
 func (p *Pooler) Send(ctx context.Context, address netip.AddrPort, r *Request) (*Answer, Outcome, error) {
 	c, err := p.open(ctx, address)
 	if err != nil {
@@ -145,7 +146,7 @@
 }
 
 func (p *Pooler) put(c *conn, a *Answer) {
-	// The deadline of the last request would make the connection look broken before the next.
+	// The last request's deadline would make the connection look broken to the next request.
 	_ = c.SetDeadline(time.Time{})
 	c.fresh = false
 	c.idleUntil = time.Now().Add(idleTimeout(a.Header))
@@ -161,8 +162,8 @@
 	p.idle[c.address] = append(p.idle[c.address], c)
 }
 
-// CloseIdle closes the idle connections to a target. Those that were forgotten by something on the way are often
-// forgotten together.
+// CloseIdle closes the idle connections to a target. A device on the path that dropped the state of one connection has
+// often dropped that of the others as well.
 func (p *Pooler) CloseIdle(address netip.AddrPort) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -172,7 +173,7 @@
 	delete(p.idle, address)
 }
 
-// Sweep closes what has been idle for too long.
+// Sweep closes the connections that have been idle for too long.
 func (p *Pooler) Sweep(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -225,7 +226,7 @@
 	return nil, Broken, &UnexpectedAnswerError{Address: c.address}
 }
 
-// encode writes a request as bytes. The body is sent with its length, however the caller sent it.
+// encode returns the bytes of a request. A body is sent with its Content-Length, however the caller sent it.
 func encode(r *Request) []byte {
 	var b bytes.Buffer
 	b.Grow(bufferSize)
@@ -239,8 +240,8 @@
 	return b.Bytes()
 }
 
-// read reads one whole answer, skipping interim ones. An answer without a length ends with its connection; when
-// that is reset the read fails, and so never looks whole.
+// read reads one complete answer and skips interim ones. An answer without a length ends when its connection is closed;
+// if the connection is reset instead, the read fails, so that the answer never looks complete.
 func (c *conn) read(r *Request) (*Answer, error) {
 	for {
 		response, err := http.ReadResponse(c.reader, &http.Request{Method: r.Method})
@@ -265,13 +266,12 @@
 	}
 }
 
-// reusable reports whether the next request may use the connection: bytes that nobody asked for would be taken for
-// its answer.
+// reusable reports whether the next request may use the connection: unexpected bytes would be taken for its answer.
 func (c *conn) reusable(a *Answer) bool {
 	return a.Header.Get("Connection") != "close" && c.reader.Buffered() == 0
 }
 
-// UnexpectedAnswerError says that a connection brought answers to other requests only.
+// UnexpectedAnswerError reports that only answers to other requests were received on a connection.
 type UnexpectedAnswerError struct{ Address netip.AddrPort }
 
 // Error implements error.
@@ -279,13 +279,13 @@
 	return "answers to other requests from " + e.Address.String()
 }
 
-// AnswerTooLargeError says that an answer is larger than is held.
+// AnswerTooLargeError reports that an answer's body is larger than maxAnswerSize.
 type AnswerTooLargeError struct{ Address netip.AddrPort }
 
 // Error implements error.
-func (e *AnswerTooLargeError) Error() string { return "too large an answer from " + e.Address.String() }
+func (e *AnswerTooLargeError) Error() string { return "answer too large from " + e.Address.String() }
 
-// DialFailed reports whether an error shows that nothing listens at the address.
+// DialFailed reports whether an error comes from opening a connection, so that no request was sent on it.
 func DialFailed(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
--- a/entry/internal/pooler/pooler_test.go
+++ b/entry/internal/pooler/pooler_test.go
@@ -13,7 +13,7 @@
 	"github.com/matryer/is"
 )
 
-// fakeTarget is a target that reads whole requests and answers the n-th of a connection with bytes that the test sets.
+// fakeTarget is a target that reads complete requests and answers the n-th on a connection with bytes set by the test.
 type fakeTarget struct {
 	address netip.AddrPort
 	// accepted counts connections, read counts requests.
@@ -85,7 +85,7 @@
 		a, outcome := send(t, p, s)
 		is.Equal(outcome, Answered)
 		is.Equal(string(a.Body), "body")
-		// The former request's deadline passes; it must not make the connection look broken.
+		// The previous request's deadline passes; it must not make the connection look broken.
 		time.Sleep(20 * time.Millisecond)
 	}
 	time.Sleep(600 * time.Millisecond)
@@ -94,8 +94,8 @@
 	is.Equal(s.accepted.Load(), int32(1))
 }
 
-// The target breaks off, in each of the ways that are seen of broken ones. None may look like a whole answer: the
-// caller would take half a page, or another caller's, for its own.
+// The target fails in each of the observed ways. None may look like a complete answer: the caller would take a partial
+// answer, or one to another caller, for its own.
 func TestIncompleteAnswersAreBroken(t *testing.T) {
 	cases := map[string]func(c net.Conn, n int){
 		"cut in the body": func(c net.Conn, _ int) {
@@ -114,7 +114,7 @@
 			}
 			_ = c.Close()
 		},
-		"no answer in the protocol": func(c net.Conn, _ int) { write(c, "rubbish rubbish rubbish\r\n\r\n") },
+		"not HTTP": func(c net.Conn, _ int) { write(c, "rubbish rubbish rubbish\r\n\r\n") },
 		"another request's answer": func(c net.Conn, _ int) {
 			for range 4 {
 				write(c, "HTTP/1.1 200 OK\r\nId: other\r\nContent-Length: 4\r\n\r\nbody")
@@ -131,14 +131,14 @@
 			defer p.Close()
 			_, outcome := send(t, p, s)
 			is.Equal(outcome, Broken)
-			is.Equal(s.read.Load(), int32(1)) // and it was never sent again
+			is.Equal(s.read.Load(), int32(1)) // the request is never sent again
 			is.Equal(len(p.idle), 0)
 		})
 	}
 }
 
-// A target answers a request twice. The second answer waits where the next request's is expected, and its caller
-// would get it.
+// A target answers a request twice. The second answer must not be taken for the answer to the next request on the
+// connection.
 func TestUnexpectedAnswers(t *testing.T) {
 	t.Run("at once", func(t *testing.T) {
 		is := is.New(t)
@@ -175,8 +175,8 @@
 	})
 }
 
-// A target closes a connection that was idle. Noticed only when the next request is on its way, one that must not
-// repeat would end in doubt.
+// A target closes an idle connection. If that were noticed only after the next request is sent, a request that is not
+// idempotent would have an unknown outcome.
 func TestClosedIdleConnectionIsNotReused(t *testing.T) {
 	is := is.New(t)
 	s := startTarget(t, func(c net.Conn, n int) {
@@ -207,7 +207,7 @@
 	is.True(DialFailed(err))
 }
 
-// The caller leaves while the target is at work. The connection is closed, so that the target stops.
+// The caller disconnects while the target executes the request. The connection is closed, so that the target stops.
 func TestCancelClosesTheConnection(t *testing.T) {
 	is := is.New(t)
 	s := startTarget(t, func(c net.Conn, _ int) { time.Sleep(5 * time.Second); write(c, completeAnswer) })
