--- a/core/aggregator/aggregator.go
+++ b/core/aggregator/aggregator.go
@@ -1,9 +1,10 @@
-// Package aggregator tells many entry instances how busy each target is.
+// Package aggregator shares the load of each target between many entry instances.
 //
-// It answers the service with many entry instances and many targets: each instance sends one request in hundreds, so it
-// hears of a target once in many seconds and takes it for an average one in between. Some targets then hold several
-// times their slots while others idle. Each report that a target sends with an answer is passed on instead: an instance
-// collects them, its controller smooths them over all instances of the region, and the instances hear what changed.
+// It is for services with many entry instances and many targets: each instance sends one request in hundreds, so it
+// receives a load report of a target once in many seconds and assumes an average load in between. Some targets would then
+// hold several times their slots while others idle. Therefore each report that a target sends with an answer is passed
+// on: an instance collects the reports, its controller smooths them over all instances of the region, and the instances
+// receive what changed.
 package aggregator
 
 import (
@@ -15,10 +16,10 @@
 )
 
 const (
-	// levelsPerUnit is how many levels a request per slot has, maxLevel the highest one.
+	// levelsPerUnit is the number of levels for one request per slot, maxLevel the highest level.
 	levelsPerUnit = 16
 	maxLevel      = 255
-	// maxCollectedTargets bounds the targets of which an instance passes on reports at once.
+	// maxCollectedTargets limits the targets whose reports an instance collects between two calls of Take.
 	maxCollectedTargets = 4096
 )
 
@@ -26,15 +27,15 @@
 type Reading struct {
 	// Target is the Key of its name.
 	Target uint32
-	// PerSlot is how many requests it holds for each of its slots.
+	// PerSlot is the number of requests at the target for each of its slots.
 	PerSlot float64
 }
 
-// Key is what a target is called in readings: a hash of its name. Two targets that share one are taken for equally busy,
-// which costs a request a worse place and nothing else.
+// Key identifies a target in readings: a hash of its name. Two targets with the same key are taken for equally loaded; the
+// only effect is a less suitable target for a request.
 func Key(target string) uint32 { return uint32(xxhash.Sum64String(target)) }
 
-// Encode puts readings into a message, nil if there are none.
+// Encode returns a message with the readings; nil if there are none.
 func Encode(list []Reading) *wire.Loads {
 	if len(list) == 0 {
 		return nil
@@ -47,7 +48,7 @@
 	return out
 }
 
-// Decode reads a message; pairs that are not whole are left out.
+// Decode returns the readings of a message. A target without a level, or a level without a target, is skipped.
 func Decode(m *wire.Loads) []Reading {
 	n := min(len(m.GetTargets()), len(m.GetLevels()))
 	out := make([]Reading, 0, n)
@@ -61,8 +62,8 @@
 	return byte(min(maxLevel, max(0, perSlot)*levelsPerUnit+0.5))
 }
 
-// Collector averages what targets report to one entry instance until it is passed on. The zero value is ready; it is for
-// use under one lock.
+// Collector averages the loads that targets report to one entry instance until they are passed on. The zero value is
+// ready; it is not safe for concurrent use.
 type Collector struct {
 	sums map[uint32]sum
 }
@@ -72,7 +73,7 @@
 	count float64
 }
 
-// Add takes a report.
+// Add adds a report; it is dropped if its target is new and the collector is full.
 func (c *Collector) Add(r Reading) {
 	if c.sums == nil {
 		c.sums = map[uint32]sum{}
@@ -84,7 +85,7 @@
 	c.sums[r.Target] = sum{old.total + r.PerSlot, old.count + 1}
 }
 
-// Take returns the averages since the last call.
+// Take returns the averages since the last call and resets them.
 func (c *Collector) Take() []Reading {
 	out := make([]Reading, 0, len(c.sums))
 	for target, s := range c.sums {
@@ -94,7 +95,8 @@
 	return out
 }
 
-// Decay is the weight that is left of an observation. It falls like an exponential, and is cheap.
+// Decay returns the remaining weight of an observation, from 1 at age 0 downwards. It approximates exp(-age/span) and is
+// cheap to compute.
 func Decay(age, span time.Duration) float64 {
 	x := float64(max(0, age)) / float64(max(1, span))
 	return 1 / (1 + x + x*x/2 + x*x*x/6)
--- a/core/aggregator/aggregator_test.go
+++ b/core/aggregator/aggregator_test.go
@@ -13,7 +13,7 @@
 
 var start = time.Unix(1000, 0)
 
-// Guards against loads that instances hear rounded to nothing, or of a message cut short that ends the program.
+// Guards against loads that are rounded to zero on the wire, and against a panic on a truncated message.
 func TestEncodeAndDecode(t *testing.T) {
 	is := is.New(t)
 	in := []Reading{{1, 0}, {2, 0.5}, {3, 1.25}, {4, 100}}
@@ -29,8 +29,8 @@
 	is.True(Encode(nil) == nil)
 }
 
-// Guards against a target that holds three times its slots and is taken for an average one: two hundred instances each
-// hear of it once in many seconds, and together several times a second.
+// Guards against an overloaded target that is taken for an average one: it holds three times its slots, and each of two
+// hundred instances receives a report of it once in many seconds, but all together several times a second.
 func TestBusyTargetIsSeenAcrossInstances(t *testing.T) {
 	is := is.New(t)
 	var local, other LoadTable
@@ -54,13 +54,13 @@
 		is.True(math.Abs(known[Key("busy")]-3) < 0.1)
 		is.True(math.Abs(known[Key("idle7")]-0.25) < 0.1)
 	}
-	t.Run("only what changed is told", func(t *testing.T) {
+	t.Run("only changes are published", func(t *testing.T) {
 		is := is.New(t)
 		before := local.Counter()
 		local.Record(now, []Reading{{Key("idle7"), 4}}, true)
-		changes := local.Since(before)
-		is.Equal(len(changes), 1)
-		is.Equal(changes[0].Target, Key("idle7"))
+		updates := local.Since(before)
+		is.Equal(len(updates), 1)
+		is.Equal(updates[0].Target, Key("idle7"))
 		is.Equal(len(local.Since(local.Counter())), 0)
 	})
 	t.Run("bounded", func(t *testing.T) { is.New(t).True(len(local.changes) <= 2*len(local.targets)+2) })
--- a/core/aggregator/table.go
+++ b/core/aggregator/table.go
@@ -6,21 +6,22 @@
 )
 
 const (
-	// decayTime is the time in which an observation loses two thirds of its weight: long enough for a mean of many short
-	// requests, short enough to follow a peak.
+	// decayTime is the time in which an observation loses about two thirds of its weight: long enough for a mean of many
+	// short requests, short enough to follow a peak.
 	decayTime = time.Second
-	// minLevelChange is by how many levels a load has to change to be told before that. Smaller changes say nothing and cost bytes
-	// to each of hundreds of instances.
+	// minLevelChange is the number of levels by which a load has to change to be published before republishInterval is
+	// over. Smaller changes are insignificant and cost traffic to each of hundreds of instances.
 	minLevelChange = 2
-	// republishInterval is how often a load that does not change is told again. One that is not told for long is taken for unknown.
+	// republishInterval is how often an unchanged load is published again. A load that has not been published for long is
+	// taken for unknown.
 	republishInterval = 2 * time.Second
-	// maxTargets bounds the targets that are remembered, forgetAfter how long.
+	// maxTargets limits the targets in the table. A target without readings for targetExpiry is removed.
 	maxTargets   = 1 << 16
 	targetExpiry = 10 * time.Second
 )
 
-// LoadTable is what a controller knows of the targets' loads, from the entry instances of its region and through the other
-// controllers there. The zero value is ready; it is for use under one lock.
+// LoadTable holds the targets' loads that a controller receives from the entry instances of its region, directly and through
+// the region's other controllers. The zero value is ready; it is not safe for concurrent use.
 type LoadTable struct {
 	targets map[uint32]*targetLoad
 	changes []change
@@ -30,22 +31,22 @@
 
 // targetLoad is the smoothed load of one target.
 type targetLoad struct {
-	// all is over all observations, near over those that came here from entry instances.
+	// all is the mean over all readings, local over those received directly from entry instances.
 	all   mean
 	local mean
-	// level was told last, at the count changed.
+	// level was published last; changed is the counter of that change.
 	level       byte
 	changed     uint64
 	publishedAt time.Time
 }
 
-// change says that a target's load was told anew; it is out of date when that happened again.
+// change records that a target's load was published; it is obsolete once the load is published again.
 type change struct {
 	counter uint64
 	target  uint32
 }
 
-// mean is a smoothed load with the weight of what it is made of, as of a time.
+// mean is a smoothed load with the total weight of its observations, as of a time.
 type mean struct {
 	perSlot float64
 	weight  float64
@@ -58,7 +59,7 @@
 	m.weight, m.at = kept+1, now
 }
 
-// Record takes readings; near tells that they came from entry instances, not from another controller.
+// Record adds readings. Local readings come from entry instances, others from another controller.
 func (g *LoadTable) Record(now time.Time, list []Reading, local bool) {
 	if g.targets == nil {
 		g.targets = map[uint32]*targetLoad{}
@@ -94,13 +95,13 @@
 	g.changes = append(g.changes, change{g.counter, target})
 }
 
-// current reports whether a change is the last one of its target.
+// current reports whether a change is the latest one of its target.
 func (g *LoadTable) current(c change) bool {
 	n, ok := g.targets[c.target]
 	return ok && n.changed == c.counter
 }
 
-// sweep forgets targets that nobody sends to any more.
+// sweep removes targets without readings for targetExpiry; it runs at most once in that time.
 func (g *LoadTable) sweep(now time.Time) {
 	if now.Before(g.sweepAt) {
 		return
@@ -113,10 +114,10 @@
 	}
 }
 
-// Counter counts the changes so far.
+// Counter returns the number of changes so far.
 func (g *LoadTable) Counter() uint64 { return g.counter }
 
-// Since returns the loads that changed after a count.
+// Since returns the loads that changed after the counter had a value.
 func (g *LoadTable) Since(counter uint64) []Reading {
 	at, _ := slices.BinarySearchFunc(g.changes, counter+1, func(c change, wanted uint64) int {
 		return int(int64(c.counter) - int64(wanted))
@@ -130,7 +131,7 @@
 	return out
 }
 
-// Local returns the loads that entry instances told here after a time, for the other controllers of the region.
+// Local returns the loads for which entry instances sent readings here after a time, for the region's other controllers.
 func (g *LoadTable) Local(after time.Time) []Reading {
 	var out []Reading
 	for target, n := range g.targets {
--- a/core/shifter/shifter.go
+++ b/core/shifter/shifter.go
@@ -1,19 +1,20 @@
-// Package shifter ramps a move of traffic from one region to another by stages. Each stage waits for a
-// fresh and good measure of the new region; a bad one goes a stage back, a stale one changes nothing.
+// Package shifter moves traffic from one region to another in stages. Each further stage requires a recent, healthy
+// measurement of the new region. An unhealthy measurement moves one stage back; a stale one changes nothing.
 package shifter
 
 import "time"
 
 const (
-	// MaxMeasurementAge is how old a measure may be and still count.
+	// MaxMeasurementAge is the age from which a measurement is stale.
 	MaxMeasurementAge = 5 * time.Second
-	// MinStageTime is how long a stage lasts at least.
+	// MinStageTime is the minimum time before the next higher stage.
 	MinStageTime = 5 * time.Second
-	// minSamples is how many answers a measure must rest on.
+	// minSamples is the minimum number of answers in a measurement.
 	minSamples = 10
-	// maxFailurePercent of failures in the new region takes a stage back.
+	// maxFailurePercent is the percentage of failures above which the new region is unhealthy.
 	maxFailurePercent = 5
-	// maxLatencyRatio: answers there may take up to this many times as long as here.
+	// maxLatencyRatio is the ratio of the new region's to the old region's answer time above which the new region is
+	// unhealthy.
 	maxLatencyRatio = 3
 	percent         = 100
 )
@@ -23,38 +24,38 @@
 	At       time.Time
 	Answers  int64
 	Failures int64
-	// NewLatency and Here are smoothed answer times of the new and the old region.
+	// NewLatency and OldLatency are the smoothed answer times of the new and the old region.
 	NewLatency time.Duration
 	OldLatency time.Duration
 }
 
 // Ramp is the state of one shift. Set FinalPercent and Stages before use.
 type Ramp struct {
-	// FinalPercent is the percentage to reach.
+	// FinalPercent is the percentage of traffic to reach.
 	FinalPercent int64
-	// Stages is over how many steps.
+	// Stages is the number of stages, above 0.
 	Stages int64
 
 	stage int64
-	// stageEnd is when the current stage may end.
+	// stageEnd is the earliest time of the next higher stage.
 	stageEnd time.Time
 }
 
-// Percent returns the percentage to move at the moment.
+// Percent returns the percentage of traffic to move in the current stage.
 func (r *Ramp) Percent() int64 { return r.FinalPercent * r.stage / r.Stages }
 
-// Stage returns the current stage, 0 before the first.
+// Stage returns the current stage; 0 before the first.
 func (r *Ramp) Stage() int64 { return r.stage }
 
-// Step looks at the newest measure and may change the stage; it reports whether it did.
+// Step evaluates the latest measurement and may change the stage; it reports whether it did.
 func (r *Ramp) Step(now time.Time, m Measurement) bool {
 	if r.stage == 0 {
 		return r.setStage(now, 1)
 	}
 	fresh := now.Sub(m.At) < MaxMeasurementAge && m.Answers >= minSamples
 	if !fresh {
-		// Measurements that stopped are no news: going on could bury the region, going back would
-		// throw traffic around for nothing.
+		// Missing measurements say nothing about the new region: the next stage could overload it, and the previous
+		// one would move traffic for no reason.
 		return false
 	}
 	if m.unhealthy() {
--- a/core/shifter/shifter_test.go
+++ b/core/shifter/shifter_test.go
@@ -16,28 +16,28 @@
 func TestStages(t *testing.T) {
 	r := Ramp{FinalPercent: 50, Stages: 5}
 	now := start
-	t.Run("starts with one stage", func(t *testing.T) {
+	t.Run("starts with the first stage", func(t *testing.T) {
 		is := is.New(t)
 		is.True(r.Step(now, Measurement{}))
 		is.Equal(r.Percent(), int64(10))
 	})
-	t.Run("waits for the stage's time", func(t *testing.T) {
+	t.Run("waits for the minimum stage time", func(t *testing.T) {
 		is.New(t).True(!r.Step(now.Add(MinStageTime/2), healthy(now.Add(MinStageTime/2))))
 	})
-	t.Run("goes on after a good measure", func(t *testing.T) {
+	t.Run("advances after a healthy measurement", func(t *testing.T) {
 		is := is.New(t)
 		now = now.Add(MinStageTime)
 		is.True(r.Step(now, healthy(now)))
 		is.Equal(r.Percent(), int64(20))
 	})
-	t.Run("goes back after a bad one", func(t *testing.T) {
+	t.Run("goes back after an unhealthy measurement", func(t *testing.T) {
 		is := is.New(t)
 		unhealthy := healthy(now)
 		unhealthy.Failures = 20
 		is.True(r.Step(now, unhealthy))
 		is.Equal(r.Percent(), int64(10))
 	})
-	t.Run("ends at its part", func(t *testing.T) {
+	t.Run("ends at the final percentage", func(t *testing.T) {
 		is := is.New(t)
 		for range 10 {
 			now = now.Add(MinStageTime)
@@ -47,8 +47,8 @@
 	})
 }
 
-// Measurements stop arriving in the middle of a move. Going on blindly could bury cold caches; going back
-// would throw all traffic around once more for no reason.
+// Measurements stop in the middle of a move. Without them, the next stage could overload cold caches, and the previous
+// one would move all the traffic again for no reason.
 func TestStaleMeasurementChangesNothing(t *testing.T) {
 	is := is.New(t)
 	r := Ramp{FinalPercent: 100, Stages: 4}
