--- a/core/aggregator/table.go
+++ b/core/aggregator/table.go
@@ -20,8 +20,8 @@
 	targetExpiry = 10 * time.Second
 )
 
-// LoadTable holds the targets' loads that a controller receives from the entry instances of its region, directly and through
-// the region's other controllers. The zero value is ready; it is not safe for concurrent use.
+// LoadTable holds the targets' loads that a controller receives from the entry instances of its region, directly and
+// through the region's other controllers. The zero value is ready; it is not safe for concurrent use.
 type LoadTable struct {
 	targets map[uint32]*targetLoad
 	changes []change
