--- a/core/aggregator/table.go
+++ b/core/aggregator/table.go
@@ -54,9 +54,9 @@
 }
 
 func (m *mean) add(now time.Time, perSlot float64) {
-	kept := m.weight * Decay(now.Sub(m.at), decayTime)
-	m.perSlot = (m.perSlot*kept + perSlot) / (kept + 1)
-	m.weight, m.at = kept+1, now
+	oldWeight := m.weight * Decay(now.Sub(m.at), decayTime)
+	m.perSlot = (m.perSlot*oldWeight + perSlot) / (oldWeight + 1)
+	m.weight, m.at = oldWeight+1, now
 }
 
 // Record adds readings. Local readings come from entry instances, others from another controller.
--- a/entry/internal/dispatcher/answer.go
+++ b/entry/internal/dispatcher/answer.go
@@ -59,8 +59,8 @@
 
 func writeRefusal(w http.ResponseWriter, out result) {
 	if !out.retry.IsZero() {
-		left := max(0, time.Until(out.retry).Seconds())
-		w.Header().Set("Retry-After", fmt.Sprintf("%.3f", left))
+		remaining := max(0, time.Until(out.retry).Seconds())
+		w.Header().Set("Retry-After", fmt.Sprintf("%.3f", remaining))
 	}
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	w.WriteHeader(out.status)
--- a/entry/internal/dispatcher/job.go
+++ b/entry/internal/dispatcher/job.go
@@ -22,7 +22,7 @@
 	// defaultTimeout is a request's time-out when its route sets none; the caller's deadline may shorten it.
 	defaultTimeout = 30 * time.Second
 	// answerMargin is how long an answer is awaited past the request's deadline: targets give up at the deadline
-	// themselves, and their own answer tells more than a time-out here.
+	// themselves, and their own answers are more informative than a time-out here.
 	answerMargin = 100 * time.Millisecond
 )
 
--- a/entry/internal/pooler/pending_test.go
+++ b/entry/internal/pooler/pending_test.go
@@ -83,10 +83,10 @@
 	k.setCut(t, true)
 	outcomes := sendAsync(t, p, k.address)
 	time.Sleep(settleTime)
-	recalled := time.Now()
-	is.Equal(p.CancelUndelivered(k.address, recalled), 1)
+	cancelledAt := time.Now()
+	is.Equal(p.CancelUndelivered(k.address, cancelledAt), 1)
 	is.Equal(<-outcomes, Broken)
-	is.True(time.Since(recalled) < time.Second) // long before its deadline
+	is.True(time.Since(cancelledAt) < time.Second) // long before its deadline
 	k.setCut(t, false)
 	time.Sleep(3 * settleTime)
 	is.Equal(k.read.Load(), int32(1))
@@ -101,7 +101,7 @@
 	defer p.Close()
 	_, outcome := send(t, p, k.fakeTarget)
 	is.Equal(outcome, Answered)
-	began := time.Now()
+	cutoff := time.Now()
 	outcomes := sendAsync(t, p, k.address)
 	time.Sleep(settleTime)
 	is.Equal(p.CancelUndelivered(k.address, time.Now()), 0)
@@ -109,7 +109,7 @@
 	k.setCut(t, true)
 	outcomes = sendAsync(t, p, k.address)
 	time.Sleep(settleTime)
-	is.Equal(p.CancelUndelivered(k.address, began), 0)
+	is.Equal(p.CancelUndelivered(k.address, cutoff), 0)
 	k.setCut(t, false)
 	is.Equal(<-outcomes, Answered)
 }
