--- a/entry/internal/dispatcher/attempt.go
+++ b/entry/internal/dispatcher/attempt.go
@@ -84,7 +84,7 @@
 	}
 }
 
-// locate returns the target that keeps the request's object warm; the zero Place if the request has no object.
+// locate returns the target that keeps the request's object warm; the place is empty if there is none.
 func (c *Dispatcher) locate(j *job, g *serviceState, cold time.Duration) placer.Place {
 	j.object = j.objectName()
 	if j.object == "" {
