--- a/controller/internal/exchanger/hosts_test.go
+++ b/controller/internal/exchanger/hosts_test.go
@@ -8,7 +8,7 @@
 	"connectrpc.com/connect"
 	"github.com/matryer/is"
 
-	"chervilrail.example/core/aggregator"
+	"chervilrail.example/core/gauger"
 	"chervilrail.example/core/wire"
 )
 
@@ -51,13 +51,13 @@
 	is := is.New(t)
 	x := begin(t, "c1")
 	request := &wire.WatchRequest{
-		Node: &wire.Node{Name: "one", Region: "r"}, Loads: aggregator.Encode([]aggregator.Reading{{Target: aggregator.Key("t1"), PerSlot: 2}}),
+		Node: &wire.Node{Name: "one", Region: "r"}, Loads: gauger.Encode([]gauger.Reading{{Target: gauger.Key("t1"), PerSlot: 2}}),
 	}
 	_, err := x.Watch(context.Background(), connect.NewRequest(request))
 	is.NoErr(err)
 	heard := next(t, x, "r", nil)
-	loads := aggregator.Decode(heard.GetLoads())
+	loads := gauger.Decode(heard.GetLoads())
 	is.Equal(len(loads), 1)
-	is.Equal(loads[0], aggregator.Reading{Target: aggregator.Key("t1"), PerSlot: 2})
+	is.Equal(loads[0], gauger.Reading{Target: gauger.Key("t1"), PerSlot: 2})
 	is.Equal(len(next(t, x, "r", heard).GetLoads().GetTargets()), 0)
 }
--- a/core/aggregator/aggregator.go
+++ b/core/gauger/gauger.go
@@ -1,11 +1,11 @@
-// Package aggregator shares the load of each target between many entry instances.
+// Package gauger shares the load of each target between many entry instances.
 //
 // It is for services with many entry instances and many targets: each instance sends one request in hundreds, so it
 // receives a load report of a target once in many seconds and assumes an average load in between. Some targets would then
 // hold several times their slots while others idle. Therefore each report that a target sends with an answer is passed
 // on: an instance collects the reports, its controller smooths them over all instances of the region, and the instances
 // receive what changed.
-package aggregator
+package gauger
 
 import (
 	"time"
--- a/core/aggregator/aggregator_test.go
+++ b/core/gauger/gauger_test.go
@@ -1,4 +1,4 @@
-package aggregator
+package gauger
 
 import (
 	"fmt"
--- a/core/gossiper/exchange.go
+++ b/core/gossiper/exchange.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"chervilrail.example/core/aggregator"
+	"chervilrail.example/core/gauger"
 	"chervilrail.example/core/wire"
 )
 
@@ -40,7 +40,7 @@
 	out.Hosted = g.hosts.counter
 	out.Hosts = g.hosts.since(p.ackedHosts, func(m *hostEntry) bool { return m.local })
 	if p.region == g.Region {
-		out.Loads = aggregator.Encode(g.loadTable.Local(p.loadsSentAt))
+		out.Loads = gauger.Encode(g.loadTable.Local(p.loadsSentAt))
 		p.loadsSentAt = now
 	}
 	return out
@@ -57,7 +57,7 @@
 	}
 	g.ReportLosses(now, r.GetLosses(), false)
 	g.mergeHosts(r.GetHosts(), false)
-	g.loadTable.Record(now, aggregator.Decode(r.GetLoads()), false)
+	g.loadTable.Record(now, gauger.Decode(r.GetLoads()), false)
 	p := g.peer(r.GetFrom())
 	p.region = r.GetRegion()
 	g.compare(now, p, r.GetDigest())
@@ -128,10 +128,10 @@
 
 // UpdateLoads merges the loads that targets have reported to entry instances.
 func (g *Gossiper) UpdateLoads(now time.Time, loads *wire.Loads) {
-	g.loadTable.Record(now, aggregator.Decode(loads), true)
+	g.loadTable.Record(now, gauger.Decode(loads), true)
 }
 
 // LoadsSince returns the loads that changed after a counter, and the current counter of load changes.
 func (g *Gossiper) LoadsSince(counter uint64) (*wire.Loads, uint64) {
-	return aggregator.Encode(g.loadTable.Since(counter)), g.loadTable.Counter()
+	return gauger.Encode(g.loadTable.Since(counter)), g.loadTable.Counter()
 }
--- a/core/gossiper/gossiper.go
+++ b/core/gossiper/gossiper.go
@@ -14,7 +14,7 @@
 	"github.com/cespare/xxhash/v2"
 	"google.golang.org/protobuf/proto"
 
-	"chervilrail.example/core/aggregator"
+	"chervilrail.example/core/gauger"
 	"chervilrail.example/core/registrar"
 	"chervilrail.example/core/wire"
 )
@@ -52,7 +52,7 @@
 	peers     map[string]*peer
 	losses    []*loss
 	hosts     hosts
-	loadTable aggregator.LoadTable
+	loadTable gauger.LoadTable
 	// counter is incremented with every change that watchers have to receive.
 	counter uint64
 	// digest is the XOR of the digests of all targets' records; equal sets of records have equal digests.
--- a/core/placer/balancer_test.go
+++ b/core/placer/balancer_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/matryer/is"
 
-	"chervilrail.example/core/aggregator"
+	"chervilrail.example/core/gauger"
 )
 
 // crowdOne has instances answer for objects that all are at one target, which is told to be overfull while others are not.
@@ -31,7 +31,7 @@
 	now := start.Add(settleSpan)
 	for end := now.Add(span); now.Before(end); now = now.Add(balanceEvery) {
 		for _, p := range list {
-			p.ObserveLoads(now, []aggregator.Reading{{Target: aggregator.Key(crowded), PerSlot: load}})
+			p.ObserveLoads(now, []gauger.Reading{{Target: gauger.Key(crowded), PerSlot: load}})
 			for _, m := range p.Balance(now) {
 				moved++
 				if p.byName[m.Target].Region != "most" {
@@ -74,7 +74,7 @@
 		p := list[0]
 		for now := start.Add(settleSpan); now.Before(start.Add(10 * time.Second)); now = now.Add(balanceEvery) {
 			for _, s := range boards() {
-				p.ObserveLoads(now, []aggregator.Reading{{Target: aggregator.Key(s.Name), PerSlot: 2}})
+				p.ObserveLoads(now, []gauger.Reading{{Target: gauger.Key(s.Name), PerSlot: 2}})
 			}
 			is.New(t).Equal(len(p.Balance(now)), 0)
 		}
--- a/core/placer/choice.go
+++ b/core/placer/choice.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"chervilrail.example/core/aggregator"
+	"chervilrail.example/core/gauger"
 )
 
 const (
@@ -121,7 +121,7 @@
 // instances are told of it is no help here: all would stay away from a target for as long as the news is old, and then all
 // come at once.
 func (p *Placer) held(now time.Time, t *Target) float64 {
-	weight := aggregator.Decay(now.Sub(t.othersAt), p.crowd.life)
+	weight := gauger.Decay(now.Sub(t.othersAt), p.crowd.life)
 	return float64(t.running) + t.others*weight + p.load.crowd*float64(t.Slots)*(1-weight)
 }
 
--- a/core/placer/crowd.go
+++ b/core/placer/crowd.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"chervilrail.example/core/aggregator"
+	"chervilrail.example/core/gauger"
 )
 
 // crowdParts is the weight of the newest report in the average: a twentieth, the answers of a second or two.
@@ -30,5 +30,5 @@
 // expected is the number of others' requests per slot now. Without reports it fades: a crowd that keeps all requests
 // away would never be seen to have gone.
 func (c *crowd) expected(now time.Time) float64 {
-	return c.perSlot * aggregator.Decay(now.Sub(c.at), c.life)
+	return c.perSlot * gauger.Decay(now.Sub(c.at), c.life)
 }
--- a/core/placer/overflow.go
+++ b/core/placer/overflow.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"chervilrail.example/core/aggregator"
+	"chervilrail.example/core/gauger"
 )
 
 const (
@@ -54,7 +54,7 @@
 
 // placed counts a request; away tells that it overflowed into another region.
 func (o *overflow) placed(now time.Time, away bool) {
-	kept := aggregator.Decay(now.Sub(o.at), awaySpan)
+	kept := gauger.Decay(now.Sub(o.at), awaySpan)
 	o.all, o.away, o.at = o.all*kept+1, o.away*kept, now
 	if away {
 		o.away++
@@ -63,7 +63,7 @@
 
 // open reports whether one more request may overflow into another region.
 func (o *overflow) open(now time.Time) bool {
-	kept := aggregator.Decay(now.Sub(o.at), awaySpan)
+	kept := gauger.Decay(now.Sub(o.at), awaySpan)
 	return o.away*kept+1 <= max(1, awayPart*(o.all*kept+1))
 }
 
--- a/core/placer/placer.go
+++ b/core/placer/placer.go
@@ -22,7 +22,7 @@
 	"sort"
 	"time"
 
-	"chervilrail.example/core/aggregator"
+	"chervilrail.example/core/gauger"
 	"chervilrail.example/core/messenger"
 )
 
@@ -174,7 +174,7 @@
 			p.assigner.newest = ready
 		}
 		p.byName[s.Name] = t
-		p.byKey[aggregator.Key(s.Name)] = t
+		p.byKey[gauger.Key(s.Name)] = t
 		if p.starting(now) {
 			p.met[s.Name] = true
 		}
@@ -208,7 +208,7 @@
 }
 
 // ObserveLoads takes the loads of targets as all instances of the region saw them.
-func (p *Placer) ObserveLoads(now time.Time, loads []aggregator.Reading) {
+func (p *Placer) ObserveLoads(now time.Time, loads []gauger.Reading) {
 	for _, r := range loads {
 		if t, ok := p.byKey[r.Target]; ok {
 			t.told, t.toldAt = r.PerSlot, now
--- a/core/placer/queue.go
+++ b/core/placer/queue.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"chervilrail.example/core/aggregator"
+	"chervilrail.example/core/gauger"
 )
 
 const (
@@ -78,7 +78,7 @@
 		queue += time.Duration(float64(t.WarmTime) * max(0, p.waiting(now, host)) / slots)
 		return max(queue, t.WarmAt.Sub(now))
 	}
-	weight := aggregator.Decay(now.Sub(p.gapAt), gapLife)
+	weight := gauger.Decay(now.Sub(p.gapAt), gapLife)
 	even := float64(p.usual()) / max(1, p.share)
 	gap := weight*float64(p.gap) + (1-weight)*even
 	return time.Duration(gap * float64(p.ahead(now, t)+1))
--- a/core/placer/replay_test.go
+++ b/core/placer/replay_test.go
@@ -10,7 +10,7 @@
 	"strconv"
 	"time"
 
-	"chervilrail.example/core/aggregator"
+	"chervilrail.example/core/gauger"
 	"chervilrail.example/core/messenger"
 	"chervilrail.example/core/partitioner"
 )
@@ -32,7 +32,7 @@
 	start time.Time
 	span  time.Duration
 	// gauges are the regions' pictures of the targets' loads, told what of them was passed on.
-	gauges map[string]*aggregator.LoadTable
+	gauges map[string]*gauger.LoadTable
 	told   map[string]uint64
 	// busy holds the requests per slot of every target, sampled while the load lasts.
 	busy []float64
@@ -160,7 +160,7 @@
 	r := &replay{
 		random: rand.New(rand.NewPCG(seed, 1)), now: time.Unix(1000, 0), targets: map[string]*worker{},
 		kinds: w.kinds, naive: naive, score: map[string]*tally{}, flows: map[int]map[string]map[string]int{}, world: w,
-		gauges: map[string]*aggregator.LoadTable{}, told: map[string]uint64{},
+		gauges: map[string]*gauger.LoadTable{}, told: map[string]uint64{},
 	}
 	r.start = r.now
 	for _, region := range slices.Sorted(maps.Keys(w.targets)) {
@@ -171,7 +171,7 @@
 		}
 	}
 	for _, region := range slices.Sorted(maps.Keys(w.targets)) {
-		r.gauges[region] = &aggregator.LoadTable{}
+		r.gauges[region] = &gauger.LoadTable{}
 		for i := range w.entries {
 			p := &Placer{Region: region, Zone: region, InterRegionRTT: 2 * farOneWay}
 			r.entries = append(r.entries, &instance{fmt.Sprintf("%s-%d", region, i), region, p})
@@ -415,7 +415,7 @@
 		r.after(way, func() {
 			outcome := Outcome{Load: &load, Failed: !ran}
 			held := float64(max(0, load.Running+load.Waiting-1)) / float64(load.Slots)
-			r.gauges[e.region].Record(r.now, []aggregator.Reading{{Target: aggregator.Key(target.Name), PerSlot: held}}, true)
+			r.gauges[e.region].Record(r.now, []gauger.Reading{{Target: gauger.Key(target.Name), PerSlot: held}}, true)
 			if ran {
 				// The time that an entry instance sees holds the wait at the target.
 				outcome.ResponseTime = r.now.Sub(sent) - 2*way
--- a/core/placer/spread.go
+++ b/core/placer/spread.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"chervilrail.example/core/aggregator"
+	"chervilrail.example/core/gauger"
 	"chervilrail.example/core/messenger"
 )
 
@@ -148,7 +148,7 @@
 
 func (s *spread) load(now time.Time, region string) float64 {
 	l := s.loads[region]
-	return l.perSlot * aggregator.Decay(now.Sub(l.at)-loadHold, loadLife)
+	return l.perSlot * gauger.Decay(now.Sub(l.at)-loadHold, loadLife)
 }
 
 // see takes a target's report.
@@ -169,7 +169,7 @@
 	}
 	s.at = now
 	s.count(elapsed)
-	kept := aggregator.Decay(elapsed, leak)
+	kept := gauger.Decay(elapsed, leak)
 	for _, r := range s.regions {
 		s.owed[r] *= kept
 	}
--- a/core/placer/target.go
+++ b/core/placer/target.go
@@ -4,7 +4,7 @@
 	"net/netip"
 	"time"
 
-	"chervilrail.example/core/aggregator"
+	"chervilrail.example/core/gauger"
 )
 
 const (
@@ -88,13 +88,13 @@
 
 // expect notes that an object was placed here which needs so many slots.
 func (t *Target) expect(now time.Time, slots float64) {
-	t.coming = t.coming*aggregator.Decay(now.Sub(t.comingAt), comingLife) + slots
+	t.coming = t.coming*gauger.Decay(now.Sub(t.comingAt), comingLife) + slots
 	t.comingAt = now
 }
 
 // expected is the load with what was placed here lately. A target that nothing is told of has none.
 func (t *Target) expected(now time.Time) float64 {
-	coming := t.coming * aggregator.Decay(now.Sub(t.comingAt), comingLife) / max(1, float64(t.Slots))
+	coming := t.coming * gauger.Decay(now.Sub(t.comingAt), comingLife) / max(1, float64(t.Slots))
 	if load, ok := t.heard(now); ok {
 		return load + coming
 	}
@@ -141,7 +141,7 @@
 
 // slowness is how many times longer than usual the target is expected to take, failures counted as time lost.
 func (t *Target) slowness(now time.Time) float64 {
-	weight := aggregator.Decay(now.Sub(t.opinionAt), forget)
+	weight := gauger.Decay(now.Sub(t.opinionAt), forget)
 	pace := 1 + (t.pace-1)*weight
 	if now.Before(t.ColdUntil) {
 		pace = max(pace, coldPace)
@@ -187,7 +187,7 @@
 
 // settleOpinion lets the opinion fade to this moment, so that newer outcomes add to what is left of it.
 func (t *Target) settleOpinion(now time.Time) {
-	weight := aggregator.Decay(now.Sub(t.opinionAt), forget)
+	weight := gauger.Decay(now.Sub(t.opinionAt), forget)
 	t.pace = 1 + (t.pace-1)*weight
 	t.bad *= weight
 	t.opinionAt = now
--- a/entry/internal/dispatcher/answer.go
+++ b/entry/internal/carrier/answer.go
@@ -1,4 +1,4 @@
-package dispatcher
+package carrier
 
 import (
 	"fmt"
@@ -31,7 +31,7 @@
 
 func callerDisconnected() result { return result{reason: "gone", disconnected: true} }
 
-func (c *Dispatcher) writeResult(w http.ResponseWriter, j *job, out result) {
+func (c *Carrier) writeResult(w http.ResponseWriter, j *job, out result) {
 	switch {
 	case out.disconnected:
 		panic(http.ErrAbortHandler)
@@ -77,7 +77,7 @@
 
 func formatHash(object uint64) string { return strconv.FormatUint(object, 36) }
 
-func (c *Dispatcher) recordResult(j *job, out result) {
+func (c *Carrier) recordResult(j *job, out result) {
 	took := time.Since(j.started)
 	c.Metrics.record(j, out, took)
 	var version uint64
--- a/entry/internal/dispatcher/attempt.go
+++ b/entry/internal/carrier/attempt.go
@@ -1,4 +1,4 @@
-package dispatcher
+package carrier
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 
 	"github.com/go-kit/log/level"
 
-	"chervilrail.example/core/aggregator"
+	"chervilrail.example/core/gauger"
 	"chervilrail.example/core/messenger"
 	"chervilrail.example/core/placer"
 	"chervilrail.example/core/quarantiner"
@@ -33,7 +33,7 @@
 
 // dispatch sends a request until it has a final result. It returns the result and what is known about the request's
 // execution over all attempts.
-func (c *Dispatcher) dispatch(j *job) (result, attemptState) {
+func (c *Carrier) dispatch(j *job) (result, attemptState) {
 	g := c.serviceState(j.service)
 	g.countRequest(j.started)
 	var tried []string
@@ -64,7 +64,7 @@
 	}
 }
 
-func (c *Dispatcher) ticket(j *job, g *serviceState, tried []string) *placer.Ticket {
+func (c *Carrier) ticket(j *job, g *serviceState, tried []string) *placer.Ticket {
 	warm, cold := c.routes.expected(j.route)
 	j.place = c.locate(j, g, cold)
 	return &placer.Ticket{
@@ -85,7 +85,7 @@
 }
 
 // locate returns the target that keeps the request's object warm; the place is empty if there is none.
-func (c *Dispatcher) locate(j *job, g *serviceState, cold time.Duration) placer.Assignment {
+func (c *Carrier) locate(j *job, g *serviceState, cold time.Duration) placer.Assignment {
 	j.object = j.objectName()
 	if j.object == "" {
 		return placer.Assignment{}
@@ -115,7 +115,7 @@
 // mayRetry reports whether a request is sent again. A request that may have been executed is retried only if it is
 // idempotent. A retry after an attempt that reached a target is charged to the retry budget, because all instances
 // together may repeat only a fraction of their requests.
-func (c *Dispatcher) mayRetry(j *job, g *serviceState, state attemptState) bool {
+func (c *Carrier) mayRetry(j *job, g *serviceState, state attemptState) bool {
 	now := time.Now()
 	if !now.Before(j.deadline) || j.request.Context().Err() != nil {
 		return false
@@ -133,7 +133,7 @@
 }
 
 // attempt sends the request to one target, on which it already holds a slot.
-func (c *Dispatcher) attempt(j *job, g *serviceState, decision placer.Decision) (result, attemptState) {
+func (c *Carrier) attempt(j *job, g *serviceState, decision placer.Decision) (result, attemptState) {
 	t := decision.Target
 	// A target other than the object's host was chosen because the host has no free slot; it is no hint for the next
 	// request for the object.
@@ -177,9 +177,9 @@
 }
 
 // observe reports the load that a target sent with its answer, if the report is usable.
-func (c *Dispatcher) observe(t *placer.Target, l *messenger.Load) {
+func (c *Carrier) observe(t *placer.Target, l *messenger.Load) {
 	if load, ok := l.PerSlot(); ok {
-		c.Views.Observe(aggregator.Reading{Target: aggregator.Key(t.Name), PerSlot: load})
+		c.Views.Observe(gauger.Reading{Target: gauger.Key(t.Name), PerSlot: load})
 	}
 }
 
@@ -194,7 +194,7 @@
 	return context.WithDeadline(ctx, j.deadline.Add(answerMargin))
 }
 
-func (c *Dispatcher) outgoing(j *job, t *placer.Target, now time.Time) *pooler.Request {
+func (c *Carrier) outgoing(j *job, t *placer.Target, now time.Time) *pooler.Request {
 	header := j.request.Header.Clone()
 	messenger.RemoveHop(header)
 	header.Del("Content-Length")
@@ -212,7 +212,7 @@
 }
 
 // classify returns the result and the state of an attempt from its answer.
-func (c *Dispatcher) classify(j *job, a *pooler.Answer, sendOutcome pooler.Outcome) (result, attemptState) {
+func (c *Carrier) classify(j *job, a *pooler.Answer, sendOutcome pooler.Outcome) (result, attemptState) {
 	switch sendOutcome {
 	case pooler.Unsent:
 		return result{}, unsent
@@ -247,7 +247,7 @@
 }
 
 // clearSuspicion removes a request that succeeded from the suspects of all entry instances.
-func (c *Dispatcher) clearSuspicion(now time.Time, j *job) {
+func (c *Carrier) clearSuspicion(now time.Time, j *job) {
 	if c.Quarantine.Succeed(now, j.fingerprint) {
 		c.Views.Report(&wire.Loss{Fingerprint: j.fingerprint[:], Success: true, Incarnation: rand.Uint64()})
 	}
@@ -273,7 +273,7 @@
 
 // recordLoss logs a failed attempt, closes the idle connections to its target, and reports the loss to all entry
 // instances if the target may have crashed while executing the request.
-func (c *Dispatcher) recordLoss(j *job, t *placer.Target, l loss) {
+func (c *Carrier) recordLoss(j *job, t *placer.Target, l loss) {
 	_ = level.Info(c.Logger).Log("msg", "attempt failed", "id", j.call.ID, "target", t.Name, "zone", t.Zone,
 		"sent", l.sendOutcome != pooler.Unsent, "late", l.cancelled, "took", l.took, "held", l.unacknowledged(), "err", l.err)
 	if l.unacknowledged() > 0 {
@@ -294,7 +294,7 @@
 const failedRetryDelay = 100 * time.Millisecond
 
 // failure returns the final result of a request that no target answered.
-func (c *Dispatcher) failure(j *job, state attemptState) result {
+func (c *Carrier) failure(j *job, state attemptState) result {
 	now := time.Now()
 	if state != unknown {
 		return refuse(http.StatusServiceUnavailable, "failed", now.Add(failedRetryDelay))
--- a/entry/internal/dispatcher/dispatcher.go
+++ b/entry/internal/carrier/carrier.go
@@ -1,6 +1,6 @@
-// Package dispatcher forwards callers' requests to targets by the routing plan: it matches a request to a route, chooses
+// Package carrier forwards callers' requests to targets by the routing plan: it matches a request to a route, chooses
 // a target, sends the request and writes the answer.
-package dispatcher
+package carrier
 
 import (
 	"context"
@@ -15,7 +15,7 @@
 	"github.com/go-kit/log"
 	"github.com/go-kit/log/level"
 
-	"chervilrail.example/core/aggregator"
+	"chervilrail.example/core/gauger"
 	"chervilrail.example/core/kernel"
 	"chervilrail.example/core/messenger"
 	"chervilrail.example/core/placer"
@@ -43,7 +43,7 @@
 	View() *watcher.View
 	Report(l *wire.Loss)
 	Settle(h *wire.Host)
-	Observe(r aggregator.Reading)
+	Observe(r gauger.Reading)
 }
 
 // Sender sends requests to targets.
@@ -69,8 +69,8 @@
 	Return(organisation string, v quoter.Verdict)
 }
 
-// Dispatcher is the service that forwards callers' requests to targets. Set the exported fields before Start.
-type Dispatcher struct {
+// Carrier is the service that forwards callers' requests to targets. Set the exported fields before Start.
+type Carrier struct {
 	// Self is this instance's name.
 	Self       string
 	Region     string
@@ -98,10 +98,10 @@
 }
 
 // Name implements kernel.Service.
-func (c *Dispatcher) Name() string { return "carry" }
+func (c *Carrier) Name() string { return "carry" }
 
 // Start starts the periodic maintenance of queued and overdue requests.
-func (c *Dispatcher) Start(context.Context, kernel.Finder) error {
+func (c *Carrier) Start(context.Context, kernel.Finder) error {
 	c.services = map[string]*serviceState{}
 	c.done = make(chan struct{})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -111,7 +111,7 @@
 }
 
 // Stop waits for the requests in progress, and returns a *StopTimeoutError if ctx ends first.
-func (c *Dispatcher) Stop(ctx context.Context) error {
+func (c *Carrier) Stop(ctx context.Context) error {
 	if c.cancel == nil {
 		return nil
 	}
@@ -132,7 +132,7 @@
 }
 
 // Health implements kernel.Service.
-func (c *Dispatcher) Health() error {
+func (c *Carrier) Health() error {
 	if c.stopping.Load() {
 		return &StoppingError{}
 	}
@@ -140,9 +140,9 @@
 }
 
 // CloseConnections makes every further answer close its caller's connection, while requests are still served.
-func (c *Dispatcher) CloseConnections() { c.stopping.Store(true) }
+func (c *Carrier) CloseConnections() { c.stopping.Store(true) }
 
-func (c *Dispatcher) maintain(ctx context.Context) {
+func (c *Carrier) maintain(ctx context.Context) {
 	defer close(c.done)
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -171,14 +171,14 @@
 }
 
 // balance publishes the new places of the objects that move to other targets.
-func (c *Dispatcher) balance(now time.Time, service string, g *serviceState) {
+func (c *Carrier) balance(now time.Time, service string, g *serviceState) {
 	for _, m := range g.balance(now) {
 		c.publishPlace(service, m.Object, m.Assignment)
 	}
 }
 
 // publishPlace publishes, counts and logs an object's new place.
-func (c *Dispatcher) publishPlace(service string, object uint64, place placer.Assignment) {
+func (c *Carrier) publishPlace(service string, object uint64, place placer.Assignment) {
 	c.Views.Settle(&wire.Host{
 		Object: object, Service: service, Target: place.Target, Route: place.Route, Version: place.Version,
 	})
@@ -186,19 +186,19 @@
 	c.logPlace(service, object, place)
 }
 
-func (c *Dispatcher) logPlace(service string, object uint64, place placer.Assignment) {
+func (c *Carrier) logPlace(service string, object uint64, place placer.Assignment) {
 	_ = level.Info(c.Logger).Log("msg", "object placed", "object", formatHash(object), "service", service,
 		"target", place.Target, "reason", place.Reason, "version", place.Version)
 }
 
-func (c *Dispatcher) allServices() map[string]*serviceState {
+func (c *Carrier) allServices() map[string]*serviceState {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return maps.Clone(c.services)
 }
 
 // ApplyView updates the state of every service to a new view.
-func (c *Dispatcher) ApplyView(v *watcher.View) {
+func (c *Carrier) ApplyView(v *watcher.View) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.labelledPlan != v.Table.Plan {
@@ -218,7 +218,7 @@
 }
 
 // UpdateHosts takes the targets that keep objects warm, as published by the controllers.
-func (c *Dispatcher) UpdateHosts(hosts []*wire.Host) {
+func (c *Carrier) UpdateHosts(hosts []*wire.Host) {
 	now := time.Now()
 	for _, h := range hosts {
 		c.serviceState(h.GetService()).updateHost(now, h)
@@ -226,7 +226,7 @@
 }
 
 // UpdateLoads takes the targets' loads, as published by the controllers.
-func (c *Dispatcher) UpdateLoads(loads []aggregator.Reading) {
+func (c *Carrier) UpdateLoads(loads []gauger.Reading) {
 	now := time.Now()
 	for _, g := range c.allServices() {
 		g.updateLoads(now, loads)
@@ -234,7 +234,7 @@
 }
 
 // Assign implements locator.Assigner.
-func (c *Dispatcher) Assign(now time.Time, service string, ask placer.AssignRequest) placer.Assignment {
+func (c *Carrier) Assign(now time.Time, service string, ask placer.AssignRequest) placer.Assignment {
 	place, object := c.serviceState(service).assign(now, ask), placer.ObjectHash(ask.Object)
 	switch {
 	case place.Changed:
@@ -245,7 +245,7 @@
 	return place
 }
 
-func (c *Dispatcher) serviceState(service string) *serviceState {
+func (c *Carrier) serviceState(service string) *serviceState {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	g, ok := c.services[service]
@@ -257,7 +257,7 @@
 }
 
 // ServeHTTP handles one request and writes its final answer.
-func (c *Dispatcher) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (c *Carrier) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	c.running.Add(1)
 	defer c.running.Add(-1)
 	j := &job{started: time.Now(), request: r}
@@ -271,7 +271,7 @@
 
 // awaitView returns the latest view. An instance that has just started has none for a moment, but callers may already be
 // sent to it; their requests wait for up to firstPlanTimeout. It returns nil if there is still no view then.
-func (c *Dispatcher) awaitView(j *job) *watcher.View {
+func (c *Carrier) awaitView(j *job) *watcher.View {
 	if view := c.Views.View(); view != nil {
 		return view
 	}
@@ -292,7 +292,7 @@
 }
 
 // handle takes a request through all steps to its result: routing, quarantine, quota and the attempts.
-func (c *Dispatcher) handle(j *job) result {
+func (c *Carrier) handle(j *job) result {
 	j.view = c.awaitView(j)
 	if j.view == nil {
 		return refuse(http.StatusServiceUnavailable, "blind", time.Now().Add(noPlanRetryDelay))
--- a/entry/internal/dispatcher/dispatcher_test.go
+++ b/entry/internal/carrier/carrier_test.go
@@ -1,4 +1,4 @@
-package dispatcher
+package carrier
 
 import (
 	"context"
@@ -17,7 +17,7 @@
 	"github.com/matryer/is"
 	"github.com/prometheus/client_golang/prometheus"
 
-	"chervilrail.example/core/aggregator"
+	"chervilrail.example/core/gauger"
 	"chervilrail.example/core/placer"
 	"chervilrail.example/core/planner"
 	"chervilrail.example/core/quarantiner"
@@ -102,10 +102,10 @@
 	return v
 }
 
-func (v *fakeViews) View() *watcher.View        { return v.view.Load() }
-func (v *fakeViews) Report(*wire.Loss)          {}
-func (v *fakeViews) Settle(*wire.Host)          {}
-func (v *fakeViews) Observe(aggregator.Reading) {}
+func (v *fakeViews) View() *watcher.View    { return v.view.Load() }
+func (v *fakeViews) Report(*wire.Loss)      {}
+func (v *fakeViews) Settle(*wire.Host)      {}
+func (v *fakeViews) Observe(gauger.Reading) {}
 
 // soleInstance is a Locator for the only entry instance of a region; it assigns no object.
 type soleInstance struct{}
@@ -137,7 +137,7 @@
 	}
 }
 
-func startDispatcher(t *testing.T, attempts ...scriptedAttempt) (*Dispatcher, *fakeSender) {
+func startCarrier(t *testing.T, attempts ...scriptedAttempt) (*Carrier, *fakeSender) {
 	t.Helper()
 	s := &fakeSender{attempts: attempts}
 	var specs []placer.Spec
@@ -147,7 +147,7 @@
 	view := &watcher.View{
 		Table: planner.NewTable(testPlan()), Targets: map[string][]placer.Spec{"listings": specs}, Entries: 1,
 	}
-	c := &Dispatcher{
+	c := &Carrier{
 		Self: "e1", Locator: soleInstance{}, Quotas: unlimitedQuotas{}, Region: "r", Zone: "z", Codec: translator.Face{}, Views: viewsWith(view), Sender: s,
 		Quarantine: &quarantiner.Quarantiner{Confirm: 3}, Logger: log.NewNopLogger(), Metrics: NewMetrics(prometheus.NewRegistry()),
 	}
@@ -157,7 +157,7 @@
 	return c, s
 }
 
-func sendRequest(c *Dispatcher, method, path string) *httptest.ResponseRecorder {
+func sendRequest(c *Carrier, method, path string) *httptest.ResponseRecorder {
 	r := httptest.NewRequest(method, "http://h.example"+path, strings.NewReader("in"))
 	r.RequestURI = path
 	r.Header.Set(translator.HeaderAttempt, "a1")
@@ -203,8 +203,8 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			dispatcher, s := startDispatcher(t, c.attempts...)
-			w := sendRequest(dispatcher, http.MethodPost, c.path)
+			carrier, s := startCarrier(t, c.attempts...)
+			w := sendRequest(carrier, http.MethodPost, c.path)
 			is.Equal(w.Code, c.status)
 			is.Equal(len(s.sent), c.sends)
 			if c.status == http.StatusServiceUnavailable {
@@ -218,7 +218,7 @@
 // against an answer that says the request was not executed.
 func TestUncertainAttemptIsNotReportedAsNotExecuted(t *testing.T) {
 	is := is.New(t)
-	c, s := startDispatcher(t, scriptedAttempt{outcome: pooler.Broken})
+	c, s := startCarrier(t, scriptedAttempt{outcome: pooler.Broken})
 	view := *c.Views.View()
 	view.Targets = map[string][]placer.Spec{"listings": view.Targets["listings"][:1]}
 	c.ApplyView(&view)
@@ -230,7 +230,7 @@
 // A target does not answer in time. The caller gets the final answer shortly after the route's time-out.
 func TestTimeout(t *testing.T) {
 	is := is.New(t)
-	c, s := startDispatcher(t, scriptedAttempt{hang: true})
+	c, s := startCarrier(t, scriptedAttempt{hang: true})
 	started := time.Now()
 	w := sendRequest(c, http.MethodPost, "/once/1")
 	is.Equal(w.Code, http.StatusGatewayTimeout)
@@ -244,7 +244,7 @@
 	for path, ended := range map[string]bool{"/safe/1": true, "/once/1": false} {
 		t.Run(path, func(t *testing.T) {
 			is := is.New(t)
-			c, s := startDispatcher(t, scriptedAttempt{hang: true})
+			c, s := startCarrier(t, scriptedAttempt{hang: true})
 			ctx, cancel := context.WithCancel(context.Background())
 			r := httptest.NewRequestWithContext(ctx, http.MethodPost, "http://h.example"+path, nil)
 			r.RequestURI = path
@@ -262,7 +262,7 @@
 // nobody waits for. The request names the target, so that another one at its address refuses it.
 func TestOutgoingRequest(t *testing.T) {
 	is := is.New(t)
-	c, s := startDispatcher(t, signedAnswer(200))
+	c, s := startCarrier(t, signedAnswer(200))
 	sendRequest(c, http.MethodPost, "/once/1?q=%2F%20x")
 	sent := s.sent[0]
 	is.Equal(sent.Path, "/once/1?q=%2F%20x")
@@ -278,7 +278,7 @@
 // without reaching another target.
 func TestCrashingRequestIsQuarantined(t *testing.T) {
 	is := is.New(t)
-	c, s := startDispatcher(t, scriptedAttempt{outcome: pooler.Broken})
+	c, s := startCarrier(t, scriptedAttempt{outcome: pooler.Broken})
 	for range 4 {
 		sendRequest(c, http.MethodPost, "/safe/1")
 	}
@@ -290,7 +290,7 @@
 
 func TestRequestWithoutPlanIsUnavailable(t *testing.T) {
 	is := is.New(t)
-	c, _ := startDispatcher(t, signedAnswer(200))
+	c, _ := startCarrier(t, signedAnswer(200))
 	c.Views = &fakeViews{}
 	w := sendRequest(c, http.MethodPost, "/once/1")
 	is.Equal(w.Code, http.StatusServiceUnavailable) // never 404: a route that is not known yet may exist
@@ -299,7 +299,7 @@
 // Guards against refusing callers that are sent to an instance which gets its first plan a moment later.
 func TestRequestsWaitForTheFirstPlan(t *testing.T) {
 	is := is.New(t)
-	c, _ := startDispatcher(t, signedAnswer(200))
+	c, _ := startCarrier(t, signedAnswer(200))
 	view := c.Views.View()
 	first := &fakeViews{}
 	c.Views = first
@@ -310,7 +310,7 @@
 // While an instance is stopping, requests are still served, and each answer closes its caller's connection.
 func TestStopping(t *testing.T) {
 	is := is.New(t)
-	c, _ := startDispatcher(t, signedAnswer(200))
+	c, _ := startCarrier(t, signedAnswer(200))
 	c.CloseConnections()
 	w := sendRequest(c, http.MethodPost, "/once/1")
 	is.Equal(w.Code, http.StatusOK)
--- a/entry/internal/dispatcher/gate.go
+++ b/entry/internal/carrier/gate.go
@@ -1,4 +1,4 @@
-package dispatcher
+package carrier
 
 import (
 	"context"
@@ -6,8 +6,8 @@
 	"sync"
 	"time"
 
-	"chervilrail.example/core/aggregator"
 	"chervilrail.example/core/budgeter"
+	"chervilrail.example/core/gauger"
 	"chervilrail.example/core/placer"
 	"chervilrail.example/core/wire"
 	"chervilrail.example/entry/internal/locator"
@@ -96,7 +96,7 @@
 }
 
 // updateLoads takes the loads of targets as published by the controllers.
-func (g *serviceState) updateLoads(now time.Time, loads []aggregator.Reading) {
+func (g *serviceState) updateLoads(now time.Time, loads []gauger.Reading) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.placement.ObserveLoads(now, loads)
--- a/entry/internal/dispatcher/job.go
+++ b/entry/internal/carrier/job.go
@@ -1,4 +1,4 @@
-package dispatcher
+package carrier
 
 import (
 	"io"
@@ -57,7 +57,7 @@
 }
 
 // prepare matches and reads a request; a non-nil result is final.
-func (c *Dispatcher) prepare(j *job) *result {
+func (c *Carrier) prepare(j *job) *result {
 	route, ok := j.view.Table.Match(j.request.Host, j.request.URL.EscapedPath())
 	if !ok {
 		out := refuse(http.StatusNotFound, "route", time.Time{})
--- a/entry/internal/dispatcher/metrics.go
+++ b/entry/internal/carrier/metrics.go
@@ -1,4 +1,4 @@
-package dispatcher
+package carrier
 
 import (
 	"cmp"
--- a/entry/internal/dispatcher/organisation.go
+++ b/entry/internal/carrier/organisation.go
@@ -1,4 +1,4 @@
-package dispatcher
+package carrier
 
 import (
 	"math/rand/v2"
@@ -43,7 +43,7 @@
 }
 
 // checkQuota counts the request against its organisation's quota; a non-nil result is final.
-func (c *Dispatcher) checkQuota(j *job) *result {
+func (c *Carrier) checkQuota(j *job) *result {
 	if j.organisation == nil {
 		return nil
 	}
--- a/entry/internal/dispatcher/organisation_test.go
+++ b/entry/internal/carrier/organisation_test.go
@@ -1,4 +1,4 @@
-package dispatcher
+package carrier
 
 import (
 	"bytes"
@@ -37,9 +37,9 @@
 
 const secret = "s3cret"
 
-// requireKeys gives the dispatcher a plan that requires keys. The key of acme is secret; bound may be served only in region
+// requireKeys gives the carrier a plan that requires keys. The key of acme is secret; bound may be served only in region
 // q, which has no target.
-func requireKeys(c *Dispatcher, m *fakeQuotas) {
+func requireKeys(c *Carrier, m *fakeQuotas) {
 	c.Quotas = m
 	view := *c.Views.View()
 	p := testPlan()
@@ -59,7 +59,7 @@
 	c.Views = viewsWith(&view)
 }
 
-func sendWithHeader(c *Dispatcher, path string, header http.Header) *httptest.ResponseRecorder {
+func sendWithHeader(c *Carrier, path string, header http.Header) *httptest.ResponseRecorder {
 	r := httptest.NewRequest(http.MethodPost, "http://h.example"+path, strings.NewReader("in"))
 	r.RequestURI = path
 	r.Header = header.Clone()
@@ -98,7 +98,7 @@
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
-			c, s := startDispatcher(t, signedAnswer(200))
+			c, s := startCarrier(t, signedAnswer(200))
 			requireKeys(c, &fakeQuotas{})
 			w := sendWithHeader(c, test.path, test.header)
 			is.Equal(w.Code, test.status)
@@ -114,7 +114,7 @@
 // Guards against keys in the log.
 func TestNoKeyIsLogged(t *testing.T) {
 	is := is.New(t)
-	c, _ := startDispatcher(t, signedAnswer(200))
+	c, _ := startCarrier(t, signedAnswer(200))
 	out := &bytes.Buffer{}
 	c.Logger = log.NewLogfmtLogger(out)
 	requireKeys(c, &fakeQuotas{})
@@ -130,7 +130,7 @@
 // both.
 func TestRegionsOfAnOrganisation(t *testing.T) {
 	is := is.New(t)
-	c, s := startDispatcher(t, signedAnswer(200))
+	c, s := startCarrier(t, signedAnswer(200))
 	requireKeys(c, &fakeQuotas{})
 	is.Equal(sendWithHeader(c, "/home/1", key("bound")).Code, http.StatusServiceUnavailable) // organisation and route have no region in common
 	is.Equal(sendWithHeader(c, "/once/1", key("bound")).Code, http.StatusServiceUnavailable) // no target in the region
@@ -192,7 +192,7 @@
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
-			c, s := startDispatcher(t, test.end)
+			c, s := startCarrier(t, test.end)
 			m := &fakeQuotas{verdict: test.verdict}
 			requireKeys(c, m)
 			w := sendWithHeader(c, "/once/1", key(secret))
--- a/entry/internal/dispatcher/overdue.go
+++ b/entry/internal/carrier/overdue.go
@@ -1,10 +1,10 @@
-package dispatcher
+package carrier
 
 import (
 	"sync"
 	"time"
 
-	"chervilrail.example/core/aggregator"
+	"chervilrail.example/core/gauger"
 )
 
 const (
@@ -51,17 +51,17 @@
 }
 
 // due returns the loads that overdue requests indicate.
-func (o *overdueRequests) due(now time.Time) []aggregator.Reading {
+func (o *overdueRequests) due(now time.Time) []gauger.Reading {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	var out []aggregator.Reading
+	var out []gauger.Reading
 	for s := range o.running {
 		if now.Before(s.reportAt) {
 			continue
 		}
 		s.reportAt = now.Add(overdueReportInterval)
-		out = append(out, aggregator.Reading{
-			Target: aggregator.Key(s.target), PerSlot: float64(now.Sub(s.started)) / float64(s.warm),
+		out = append(out, gauger.Reading{
+			Target: gauger.Key(s.target), PerSlot: float64(now.Sub(s.started)) / float64(s.warm),
 		})
 	}
 	return out
--- a/entry/internal/dispatcher/overdue_test.go
+++ b/entry/internal/carrier/overdue_test.go
@@ -1,4 +1,4 @@
-package dispatcher
+package carrier
 
 import (
 	"testing"
@@ -6,7 +6,7 @@
 
 	"github.com/matryer/is"
 
-	"chervilrail.example/core/aggregator"
+	"chervilrail.example/core/gauger"
 )
 
 // Guards against targets that became many times slower and look idle because they send no answers, and so no reports.
@@ -20,7 +20,7 @@
 	is.Equal(len(o.due(now.Add(cold))), 0) // no longer than a cold run
 	got := o.due(now.Add(3 * time.Second))
 	is.Equal(len(got), 1)
-	is.Equal(got[0].Target, aggregator.Key("slow"))
+	is.Equal(got[0].Target, gauger.Key("slow"))
 	is.Equal(got[0].PerSlot, 5.0)
 	is.Equal(len(o.due(now.Add(3*time.Second+overdueReportInterval/2))), 0) // reported only once per interval
 	is.Equal(o.due(now.Add(6 * time.Second))[0].PerSlot, 10.0)
--- a/entry/internal/dispatcher/withdrawal.go
+++ b/entry/internal/carrier/withdrawal.go
@@ -1,4 +1,4 @@
-package dispatcher
+package carrier
 
 import (
 	"sync"
@@ -54,7 +54,7 @@
 }
 
 // cancelUndelivered cancels the requests that have not reached targets which were withdrawn.
-func (c *Dispatcher) cancelUndelivered(now time.Time) {
+func (c *Carrier) cancelUndelivered(now time.Time) {
 	for _, w := range c.withdrawals.takeDue(now) {
 		count := c.Sender.CancelUndelivered(w.Address, now.Add(-minUndeliveredAge))
 		if count > 0 {
--- a/entry/internal/dispatcher/withdrawal_test.go
+++ b/entry/internal/carrier/withdrawal_test.go
@@ -1,4 +1,4 @@
-package dispatcher
+package carrier
 
 import (
 	"net/http"
@@ -19,7 +19,7 @@
 	for name, kept := range map[string]bool{"withdrawn": false, "kept": true} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			c, s := startDispatcher(t, scriptedAttempt{hang: true})
+			c, s := startCarrier(t, scriptedAttempt{hang: true})
 			view := *c.Views.View()
 			view.Table.Plan.Routes[1].Timeout = int64(3 * time.Second)
 			done := make(chan int, 1)
@@ -48,11 +48,11 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			dispatcher, _ := startDispatcher(t, scriptedAttempt{})
+			carrier, _ := startCarrier(t, scriptedAttempt{})
 			j := &job{fingerprint: quarantiner.Fingerprint{1}}
 			target := &placer.Target{Spec: placer.Spec{Name: "t1", Incarnation: 1}}
-			dispatcher.recordLoss(j, target, loss{sendOutcome: pooler.Broken, err: c.err})
-			is.Equal(dispatcher.Quarantine.Losses(time.Now(), j.fingerprint), c.losses)
+			carrier.recordLoss(j, target, loss{sendOutcome: pooler.Broken, err: c.err})
+			is.Equal(carrier.Quarantine.Losses(time.Now(), j.fingerprint), c.losses)
 		})
 	}
 }
--- a/entry/internal/cli/leaver.go
+++ b/entry/internal/cli/leaver.go
@@ -9,7 +9,7 @@
 	"github.com/go-kit/log/level"
 
 	"chervilrail.example/core/kernel"
-	"chervilrail.example/entry/internal/dispatcher"
+	"chervilrail.example/entry/internal/carrier"
 	"chervilrail.example/entry/internal/watcher"
 )
 
@@ -18,7 +18,7 @@
 // just being sent.
 type leaver struct {
 	watcher *watcher.Watcher
-	carrier *dispatcher.Dispatcher
+	carrier *carrier.Carrier
 	// serve is how long requests are still taken after the instance is out of the look-ups.
 	serve   time.Duration
 	logger  log.Logger
@@ -34,7 +34,7 @@
 // Health implements kernel.Service.
 func (l *leaver) Health() error {
 	if l.leaving.Load() {
-		return &dispatcher.StoppingError{}
+		return &carrier.StoppingError{}
 	}
 	return nil
 }
--- a/entry/internal/cli/routed.go
+++ b/entry/internal/cli/routed.go
@@ -20,8 +20,8 @@
 	"chervilrail.example/core/reloader"
 	"chervilrail.example/core/reporter"
 	"chervilrail.example/core/wire"
+	"chervilrail.example/entry/internal/carrier"
 	"chervilrail.example/entry/internal/config"
-	"chervilrail.example/entry/internal/dispatcher"
 	"chervilrail.example/entry/internal/enforcer"
 	"chervilrail.example/entry/internal/locator"
 	"chervilrail.example/entry/internal/pooler"
@@ -45,7 +45,7 @@
 	closeLog func()
 	registry *prometheus.Registry
 	watcher  *watcher.Watcher
-	carrier  *dispatcher.Dispatcher
+	carrier  *carrier.Carrier
 	locator  *locator.Locator
 	asker    *enforcer.Enforcer
 	leaver   *leaver
@@ -66,9 +66,9 @@
 		Logger: p.logger,
 		Losses: func(reports []*wire.Loss) { takeLosses(quarantine, reports) },
 	}
-	p.carrier = &dispatcher.Dispatcher{
+	p.carrier = &carrier.Carrier{
 		Self: settings.Name, Region: settings.Region, Zone: settings.Zone, Codec: translator.Face{}, Views: p.watcher,
-		Sender: &pooler.Pooler{}, Quarantine: quarantine, Logger: p.logger, Metrics: dispatcher.NewMetrics(p.registry),
+		Sender: &pooler.Pooler{}, Quarantine: quarantine, Logger: p.logger, Metrics: carrier.NewMetrics(p.registry),
 	}
 	p.locator = &locator.Locator{
 		Self: settings.Name, Dialer: &dialer.Dialer{Plain: true}, Assigner: p.carrier, Logger: p.logger,
--- a/entry/internal/watcher/view.go
+++ b/entry/internal/watcher/view.go
@@ -10,7 +10,7 @@
 
 	"github.com/go-kit/log/level"
 
-	"chervilrail.example/core/aggregator"
+	"chervilrail.example/core/gauger"
 	"chervilrail.example/core/partitioner"
 	"chervilrail.example/core/placer"
 	"chervilrail.example/core/planner"
@@ -46,7 +46,7 @@
 		w.Hosts(r.GetHosts())
 	}
 	if len(r.GetLoads().GetTargets()) > 0 {
-		w.Loads(aggregator.Decode(r.GetLoads()))
+		w.Loads(gauger.Decode(r.GetLoads()))
 	}
 	if stale && s.plan != nil {
 		w.publish(now)
--- a/entry/internal/watcher/watcher.go
+++ b/entry/internal/watcher/watcher.go
@@ -16,8 +16,8 @@
 	"github.com/go-kit/log"
 	"github.com/go-kit/log/level"
 
-	"chervilrail.example/core/aggregator"
 	"chervilrail.example/core/dialer"
+	"chervilrail.example/core/gauger"
 	"chervilrail.example/core/kernel"
 	"chervilrail.example/core/planner"
 	"chervilrail.example/core/registrar"
@@ -47,7 +47,7 @@
 	// Hosts takes where objects were last kept warm.
 	Hosts func(hosts []*wire.Host)
 	// Loads takes how busy targets are, as all instances of the region saw it.
-	Loads func(loads []aggregator.Reading)
+	Loads func(loads []gauger.Reading)
 	// Changed is called with every new view, by the goroutine that owns the control state.
 	Changed func(v *View)
 
@@ -55,7 +55,7 @@
 	mu     sync.Mutex
 	teller teller
 	// seen is what targets reported here since the last call.
-	seen aggregator.Collector
+	seen gauger.Collector
 
 	state  state
 	client *http.Client
@@ -215,7 +215,7 @@
 }
 
 // Observe takes a target's report, to be passed on with the next call.
-func (w *Watcher) Observe(r aggregator.Reading) {
+func (w *Watcher) Observe(r gauger.Reading) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.seen.Add(r)
@@ -224,7 +224,7 @@
 func (w *Watcher) observed() *wire.Loads {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return aggregator.Encode(w.seen.Take())
+	return gauger.Encode(w.seen.Take())
 }
 
 // node describes this instance; blind ones are not named to callers.
--- a/entry/internal/watcher/watcher_test.go
+++ b/entry/internal/watcher/watcher_test.go
@@ -13,8 +13,8 @@
 	"github.com/go-kit/log"
 	"github.com/matryer/is"
 
-	"chervilrail.example/core/aggregator"
 	"chervilrail.example/core/dialer"
+	"chervilrail.example/core/gauger"
 	"chervilrail.example/core/wire"
 	"chervilrail.example/core/wire/wireconnect"
 )
@@ -291,23 +291,23 @@
 	is := is.New(t)
 	c, address := serve(t, &wire.WatchResponse{
 		Run: 1, Counter: 1, Linked: true, Hosted: 4, Loaded: 9, Hosts: []*wire.Host{{Object: 1, Target: "t1"}},
-		Loads: aggregator.Encode([]aggregator.Reading{{Target: 7, PerSlot: 1.5}}),
+		Loads: gauger.Encode([]gauger.Reading{{Target: 7, PerSlot: 1.5}}),
 	})
-	hosts, loads := make(chan []*wire.Host, 100), make(chan []aggregator.Reading, 100)
+	hosts, loads := make(chan []*wire.Host, 100), make(chan []gauger.Reading, 100)
 	w := &Watcher{
 		Node: &wire.Node{Name: "e1", Region: "r"}, Seeds: []netip.AddrPort{address}, Dialer: &dialer.Dialer{Plain: true},
 		Logger: log.NewNopLogger(), Changed: func(*View) {}, Hosts: func(list []*wire.Host) { hosts <- list },
-		Loads: func(list []aggregator.Reading) { loads <- list },
+		Loads: func(list []gauger.Reading) { loads <- list },
 	}
-	w.Observe(aggregator.Reading{Target: 3, PerSlot: 2})
+	w.Observe(gauger.Reading{Target: 3, PerSlot: 2})
 	is.NoErr(w.Start(context.Background(), nil))
 	is.Equal((<-hosts)[0].GetTarget(), "t1")
-	is.Equal((<-loads)[0], aggregator.Reading{Target: 7, PerSlot: 1.5})
+	is.Equal((<-loads)[0], gauger.Reading{Target: 7, PerSlot: 1.5})
 	<-loads
 	is.NoErr(w.Stop(context.Background()))
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	is.Equal(aggregator.Decode(c.asked[0].GetLoads()), []aggregator.Reading{{Target: 3, PerSlot: 2}})
+	is.Equal(gauger.Decode(c.asked[0].GetLoads()), []gauger.Reading{{Target: 3, PerSlot: 2}})
 	is.Equal(len(c.asked[1].GetLoads().GetTargets()), 0)
 	is.Equal(c.asked[1].GetHosted(), uint64(4))
 	is.Equal(c.asked[1].GetLoaded(), uint64(9))
