--- a/core/placer/assigner.go
+++ b/core/placer/assigner.go
@@ -7,8 +7,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// announceTime is in which the targets that are there announce themselves to a system that has just started.
-const announceTime = 2 * time.Second
+// announcePeriod is in which the targets that are there announce themselves to a system that has just started.
+const announcePeriod = 2 * time.Second
 
 // AssignRequest is the question where a request should go, put to the instance that answers for its object.
 type AssignRequest struct {
@@ -47,73 +47,73 @@
 // beside each other, until the slots are full of such runs. One instance that answers for an object starts it cold once;
 // it knows what all have given to a target, so that targets come out even; and the others need not ask again.
 type assigner struct {
-	objects map[uint64]*assigned
-	// counts are how many objects of each route a target has, by its name, and all of them under the empty route.
-	counts map[string]map[string]int
+	objects map[uint64]*assignedObject
+	// objectCounts are how many objects of each route a target has, by its name, and all of them under the empty route.
+	objectCounts map[string]map[string]int
 	// owns tells which objects this instance answers for, own are those of them that are known.
-	owns func(object uint64) bool
-	own  map[uint64]*assigned
-	// parts are the parts of the objects that go to each region, by its slots.
-	parts map[string]float64
+	owns  func(object uint64) bool
+	owned map[uint64]*assignedObject
+	// regionShares are the regionShares of the objects that go to each region, by its slots.
+	regionShares map[string]float64
 	// offset is where this instance begins among equal targets. All instances would else fill the same ones first.
 	offset float64
-	// of is how many instances of the region answer for objects.
-	of int
-	// newest is when the last target became ready for objects.
-	newest time.Time
-	// moveAt is when the next object may follow a joined target, crossAt when the next one may go to another region.
-	moveAt  time.Time
-	crossAt time.Time
+	// ownerCount is how many instances ownerCount the region answer for objects.
+	ownerCount int
+	// newestReadyAt is when the last target became ready for objects.
+	newestReadyAt time.Time
+	// nextJoinMoveAt is when the next object may follow a joined target, crossAt when the next one may go to another region.
+	nextJoinMoveAt   time.Time
+	nextRegionMoveAt time.Time
 	balancer
 }
 
-// assigned is one object's place.
-type assigned struct {
+// assignedObject is one object's place.
+type assignedObject struct {
 	target string
 	route  string
 	// version grows with each move; of two places told of, the higher one holds.
 	version  uint64
 	placedAt time.Time
 	warmAt   time.Time
-	// ask is the last question for the object, with an empty name if there was none.
-	ask AssignRequest
+	// lastRequest is the last question for the object, with an empty name if there was none.
+	lastRequest AssignRequest
 }
 
 // ObjectHash is what an object is called where its name would be too long.
 func ObjectHash(name string) uint64 { return xxhash.Sum64String(name) }
 
 // SetOwnership tells which objects this instance answers for, as one of so many, the position-th of them.
-func (p *Placer) SetOwnership(owns func(object uint64) bool, position, of int) {
+func (p *Placer) SetOwnership(owns func(object uint64) bool, position, total int) {
 	a := &p.assigner
 	a.owns = owns
-	a.offset, a.of = float64(position)/float64(max(1, of)), of
-	a.own = map[uint64]*assigned{}
+	a.offset, a.ownerCount = float64(position)/float64(max(1, total)), total
+	a.owned = map[uint64]*assignedObject{}
 	for object, found := range a.objects {
 		if owns(object) {
-			a.own[object] = found
+			a.owned[object] = found
 		}
 	}
 }
 
 // Assign says where a request for an object goes for which this instance answers.
-func (p *Placer) Assign(now time.Time, ask AssignRequest) Assignment {
+func (p *Placer) Assign(now time.Time, request AssignRequest) Assignment {
 	a := &p.assigner
-	object := ObjectHash(ask.Object)
+	object := ObjectHash(request.Object)
 	found, ok := a.objects[object]
-	if !ok || !p.Eligible(now, found.target, ask.Regions) {
-		return p.assign(now, object, ask)
+	if !ok || !p.Eligible(now, found.target, request.Regions) {
+		return p.assign(now, object, request)
 	}
-	found.ask = ask
-	return found.place(now)
+	found.lastRequest = request
+	return found.assignment(now)
 }
 
-// place is the answer to a request for an object that has its place.
-func (o *assigned) place(now time.Time) Assignment {
-	place := Assignment{Target: o.target, Reason: "known"}
+// assignment is the answer to a request for an object that has its assignment.
+func (o *assignedObject) assignment(now time.Time) Assignment {
+	assignment := Assignment{Target: o.target, Reason: "known"}
 	if now.Before(o.warmAt) {
-		place.WarmAt = o.warmAt
+		assignment.WarmAt = o.warmAt
 	}
-	return place
+	return assignment
 }
 
 // Lookup is an object's place as this instance was told or decided itself, false if it has to be asked for.
@@ -122,7 +122,7 @@
 	if !ok || !p.Eligible(now, found.target, regions) {
 		return Assignment{}, false
 	}
-	return found.place(now), true
+	return found.assignment(now), true
 }
 
 // Supersedes reports whether a place of an object holds instead of another one that was told of. All who hear of both, in
@@ -140,90 +140,90 @@
 	if old, ok := a.objects[object]; ok && !Supersedes(version, target, old.version, old.target) {
 		return
 	}
-	a.set(object, &assigned{target: target, route: route, version: version, placedAt: now})
+	a.store(object, &assignedObject{target: target, route: route, version: version, placedAt: now})
 }
 
 // assign gives an object a target: the one where the asker saw it, else the one that has most room.
-func (p *Placer) assign(now time.Time, object uint64, ask AssignRequest) Assignment {
+func (p *Placer) assign(now time.Time, object uint64, request AssignRequest) Assignment {
 	a := &p.assigner
-	if old, ok := a.objects[object]; ok && ask.Hint == "" {
-		ask.Hint = old.target
+	if old, ok := a.objects[object]; ok && request.Hint == "" {
+		request.Hint = old.target
 	}
-	if p.Eligible(now, ask.Hint, ask.Regions) {
-		place := a.put(now, object, ask, ask.Hint, "hint")
-		place.FirstRun = false
+	if p.Eligible(now, request.Hint, request.Regions) {
+		assignment := a.placeAt(now, object, request, request.Hint, "hint")
+		assignment.FirstRun = false
 		a.objects[object].warmAt = now
-		return place
+		return assignment
 	}
-	if p.awaited(now, ask.Hint) {
-		return Assignment{Target: ask.Hint, Reason: "awaited"}
+	if p.awaited(now, request.Hint) {
+		return Assignment{Target: request.Hint, Reason: "awaited"}
 	}
-	target := p.emptiest(p.region(now, ask), now, object, ask)
+	target := p.leastLoadedTarget(p.chooseRegion(now, request), now, object, request)
 	if target == nil {
 		return Assignment{}
 	}
-	return p.give(now, object, ask, target, "new")
+	return p.assignCold(now, object, request, target, "new")
 }
 
-// give puts an object at a target that does not have it warm.
-func (p *Placer) give(now time.Time, object uint64, ask AssignRequest, target *Target, reason string) Assignment {
-	target.expect(now, p.assigner.demand)
-	return p.assigner.put(now, object, ask, target.Name, reason)
+// assignCold puts an object at a target that does not have it warm.
+func (p *Placer) assignCold(now time.Time, object uint64, request AssignRequest, target *Target, reason string) Assignment {
+	target.addPending(now, p.assigner.slotsPerObject)
+	return p.assigner.placeAt(now, object, request, target.Name, reason)
 }
 
-func (a *assigner) put(now time.Time, object uint64, ask AssignRequest, target, reason string) Assignment {
-	next := &assigned{target: target, route: ask.Route, version: 1, placedAt: now, warmAt: now.Add(ask.ColdTime), ask: ask}
+func (a *assigner) placeAt(now time.Time, object uint64, request AssignRequest, target, reason string) Assignment {
+	next := &assignedObject{target: target, route: request.Route, version: 1, placedAt: now, warmAt: now.Add(request.ColdTime), lastRequest: request}
 	if old, ok := a.objects[object]; ok {
 		next.version = old.version + 1
 	}
-	a.set(object, next)
+	a.store(object, next)
 	return Assignment{
-		Target: target, Route: ask.Route, Reason: reason, Version: next.version, FirstRun: true, Changed: true,
+		Target: target, Route: request.Route, Reason: reason, Version: next.version, FirstRun: true, Changed: true,
 	}
 }
 
-func (a *assigner) set(object uint64, next *assigned) {
-	a.forget(object)
+func (a *assigner) store(object uint64, next *assignedObject) {
+	a.remove(object)
 	if a.objects == nil || len(a.objects) >= maxObjects {
-		a.objects, a.counts, a.own = map[uint64]*assigned{}, map[string]map[string]int{}, map[uint64]*assigned{}
+		a.objects, a.objectCounts, a.owned = map[uint64]*assignedObject{}, map[string]map[string]int{}, map[uint64]*assignedObject{}
 	}
 	a.objects[object] = next
 	if a.owns != nil && a.owns(object) {
-		a.own[object] = next
+		a.owned[object] = next
 	}
-	if a.counts[next.target] == nil {
-		a.counts[next.target] = map[string]int{}
+	if a.objectCounts[next.target] == nil {
+		a.objectCounts[next.target] = map[string]int{}
 	}
-	a.counts[next.target][next.route]++
-	a.counts[next.target][allRoutes]++
+	a.objectCounts[next.target][next.route]++
+	a.objectCounts[next.target][allRoutes]++
 }
 
 // allRoutes stands for the objects of all routes together.
 const allRoutes = ""
 
-func (a *assigner) forget(object uint64) {
+func (a *assigner) remove(object uint64) {
 	old, ok := a.objects[object]
 	if !ok {
 		return
 	}
-	a.counts[old.target][old.route]--
-	a.counts[old.target][allRoutes]--
-	if a.counts[old.target][allRoutes] == 0 {
-		delete(a.counts, old.target)
+	a.objectCounts[old.target][old.route]--
+	a.objectCounts[old.target][allRoutes]--
+	if a.objectCounts[old.target][allRoutes] == 0 {
+		delete(a.objectCounts, old.target)
 	}
 	delete(a.objects, object)
-	delete(a.own, object)
+	delete(a.owned, object)
 }
 
-// keeps reports whether a target may go on being an object's.
-func (p *Placer) keeps(now time.Time, target *Target, regions []string) bool {
+// eligible reports whether a target may go on being an object's.
+func (p *Placer) eligible(now time.Time, target *Target, regions []string) bool {
 	return p.byName[target.Name] == target && !target.down(now) && inRegions(target.Region, regions)
 }
 
 // Eligible reports whether a target may be used for an object that it has warm.
 func (p *Placer) Eligible(now time.Time, target string, regions []string) bool {
 	found, ok := p.byName[target]
-	return ok && p.keeps(now, found, regions)
+	return ok && p.eligible(now, found, regions)
 }
 
 func inRegions(region string, regions []string) bool {
--- a/core/placer/assigner_test.go
+++ b/core/placer/assigner_test.go
@@ -157,7 +157,7 @@
 		is := is.New(t)
 		ask := question("b")
 		ask.Hint = "gone"
-		found := p.Assign(start.Add(announceTime), ask)
+		found := p.Assign(start.Add(announcePeriod), ask)
 		is.True(found.Target != "" && found.Target != "gone")
 	})
 }
@@ -174,7 +174,7 @@
 	p.Update(now, append(specs, joined), 1)
 	is.True(place(now, p, "", 132)[joined.Name] <= 1)
 	for range 60 {
-		now = now.Add(balanceEvery)
+		now = now.Add(balanceInterval)
 		p.Balance(now)
 	}
 	n := place(now, p, "", 132)[joined.Name]
@@ -232,7 +232,7 @@
 	is.Equal(place(now, p, "", objects)[specs[lost].Name], 0)
 	now = now.Add(3 * time.Second)
 	for range 40 {
-		now = now.Add(balanceEvery)
+		now = now.Add(balanceInterval)
 		p.Balance(now)
 	}
 	is.True(place(now, p, "", objects)[specs[lost].Name] >= 4) // 60 objects, six targets
--- a/core/placer/balancer_test.go
+++ b/core/placer/balancer_test.go
@@ -28,8 +28,8 @@
 
 // shed lets all instances balance for a time, while the crowded target's load stays as told, and counts what leaves.
 func shed(list []*Placer, crowded string, load float64, span time.Duration) (moved, crossed int) {
-	now := start.Add(settleSpan)
-	for end := now.Add(span); now.Before(end); now = now.Add(balanceEvery) {
+	now := start.Add(minStay)
+	for end := now.Add(span); now.Before(end); now = now.Add(balanceInterval) {
 		for _, p := range list {
 			p.ObserveLoads(now, []gauger.Reading{{Target: gauger.Key(crowded), PerSlot: load}})
 			for _, m := range p.Balance(now) {
@@ -50,7 +50,7 @@
 		t.Run(fmt.Sprint(instances), func(t *testing.T) {
 			is := is.New(t)
 			list, crowded := crowdOne(instances, 60/instances)
-			moved, crossed := shed(list, crowded, 2, shedSpan)
+			moved, crossed := shed(list, crowded, 2, shedPeriod)
 			t.Log("moved", moved)
 			is.True(moved >= 12 && moved <= 45) // 60 objects, half too many
 			is.Equal(crossed, 0)
@@ -72,7 +72,7 @@
 	t.Run("all busy", func(t *testing.T) {
 		list, _ := crowdOne(1, 30)
 		p := list[0]
-		for now := start.Add(settleSpan); now.Before(start.Add(10 * time.Second)); now = now.Add(balanceEvery) {
+		for now := start.Add(minStay); now.Before(start.Add(10 * time.Second)); now = now.Add(balanceInterval) {
 			for _, s := range boards() {
 				p.ObserveLoads(now, []gauger.Reading{{Target: gauger.Key(s.Name), PerSlot: 2}})
 			}
@@ -104,12 +104,12 @@
 		p.RecordAssignment(start, object, "most-3", "view", 7)
 		p.SetOwnership(func(uint64) bool { return true }, 0, 1)
 		is.Equal(p.Assign(start, question("a")).Target, "most-3")
-		is.Equal(len(p.assigner.own), 1)
+		is.Equal(len(p.assigner.owned), 1)
 	})
 	t.Run("and counted", func(t *testing.T) {
 		is := is.New(t)
-		is.Equal(p.assigner.counts["most-3"][allRoutes], 1)
-		is.Equal(len(p.assigner.counts), 1)
+		is.Equal(p.assigner.objectCounts["most-3"][allRoutes], 1)
+		is.Equal(len(p.assigner.objectCounts), 1)
 	})
 }
 
@@ -149,7 +149,7 @@
 	ask.Hint, ask.Regions = "few-0", []string{"few"}
 	p.Assign(start, ask)
 	p.RecordAssignment(start, ObjectHash("a"), "most-1", "view", 9)
-	p.assigner.objects[ObjectHash("a")].ask = ask
+	p.assigner.objects[ObjectHash("a")].lastRequest = ask
 	now := start.Add(10 * time.Second)
 	p.Update(now, append(specs, Spec{Name: "most-9", Incarnation: 1, Region: "most", Slots: 9, OwnSlots: 1}), 1)
 	is.Equal(len(p.Balance(now)), 0)
--- a/core/placer/choice.go
+++ b/core/placer/choice.go
@@ -11,18 +11,18 @@
 	// warmQueue is how many requests may wait at a target that has the object warm. It works three times as fast as
 	// any other, so a short wait there beats a free slot elsewhere.
 	warmQueue = 1.5
-	// lesserQueue is the same for the less urgent kinds of the service, which leave the most urgent one a place in that
+	// lessUrgentQueue is the same for the less urgent kinds of the service, which leave the most urgent one a place in that
 	// queue.
-	lesserQueue = 1
+	lessUrgentQueue = 1
 	// lateQueue is the same for requests that can't be on time any more: those that can find a shorter queue.
 	lateQueue = 0.5
-	// scarceFrom: from this part of taken slots on, requests wait for the hosts of their objects and start nowhere else,
+	// scarceUtilisation: from this part of taken slots on, requests wait for the hosts of their objects and start nowhere else,
 	// where they would take the time of three others and push other objects out.
-	scarceFrom = 0.3
-	// zoneCost prefers the own availability zone among equals: bytes between zones cost, time hardly differs.
-	zoneCost = time.Millisecond
-	// emptier is what a full target costs over an empty one, where both have room.
-	emptier = 10 * time.Millisecond
+	scarceUtilisation = 0.3
+	// crossZoneCost prefers the own availability zone among equals: bytes between zones cost, time hardly differs.
+	crossZoneCost = time.Millisecond
+	// fullTargetCost is what a full target costs over an empty one, where both have room.
+	fullTargetCost = 10 * time.Millisecond
 )
 
 // place takes a slot for a request, or returns nil if no target has room for it.
@@ -30,24 +30,24 @@
 	target := p.choose(now, t)
 	if target != nil {
 		target.start(now)
-		p.load.since++
-		p.follow(now)
-		p.spread.sent(target.Region)
+		p.snapshot.changes++
+		p.recordPlacement(now)
+		p.regionSplit.recordSend(target.Region)
 		host := p.byName[t.Host]
-		p.overflow.placed(now, host != nil && target.Region != host.Region)
+		p.overflow.count(now, host != nil && target.Region != host.Region)
 	}
 	return target
 }
 
 // starting reports whether targets may still have to announce themselves to a system that has just started.
 func (p *Placer) starting(now time.Time) bool {
-	return now.Before(p.firstAt.Add(announceTime))
+	return now.Before(p.firstTargetAt.Add(announcePeriod))
 }
 
 // awaited reports whether the host of an object has yet to announce itself. Elsewhere, the object would run cold and push
 // out others whose targets are there already. A target that was there and left is not waited for.
 func (p *Placer) awaited(now time.Time, host string) bool {
-	return host != "" && p.starting(now) && !p.met[host]
+	return host != "" && p.starting(now) && !p.announced[host]
 }
 
 // host returns the target that keeps the object of a request warm, or nil if there is none or it can't be used.
@@ -59,20 +59,20 @@
 	return host
 }
 
-// enter returns the host of a request's object if it has room. A request that comes while the object runs there for
+// hostWithRoom returns the host of a request's object if it has room. A request that comes while the object runs there for
 // the first time waits: it would run cold beside that run, for three times the slots' time, and end no sooner.
-func (p *Placer) enter(now time.Time, t *Ticket, host *Target) *Target {
-	if now.Before(t.WarmAt) && (p.load.scarce || now.Add(t.ColdTime).After(t.SoftDeadline)) {
+func (p *Placer) hostWithRoom(now time.Time, t *Ticket, host *Target) *Target {
+	if now.Before(t.WarmAt) && (p.snapshot.slotsScarce || now.Add(t.ColdTime).After(t.SoftDeadline)) {
 		return nil
 	}
 	if !host.usable(now) {
 		return nil
 	}
-	chance := warmChance(0)
+	probability := warmProbability(0)
 	if t.FirstRun {
-		chance = 0
+		probability = 0
 	}
-	if _, ok := p.cost(now, host, t, chance); !ok {
+	if _, ok := p.cost(now, host, t, probability); !ok {
 		return nil
 	}
 	return host
@@ -82,28 +82,28 @@
 // be done first, of those in regions that may get one more.
 func (p *Placer) choose(now time.Time, t *Ticket) *Target {
 	if host := p.host(now, t); host != nil {
-		if target := p.enter(now, t, host); target != nil {
+		if target := p.hostWithRoom(now, t, host); target != nil {
 			return target
 		}
-		return p.beside(now, t, host)
+		return p.chooseOverflow(now, t, host)
 	}
 	if p.awaited(now, t.Host) {
 		return nil
 	}
-	hosts := p.hosts.of(t.Key)
+	hosts := p.hosts.forObject(t.Key)
 	candidates := p.targets
-	if p.load.scarce && p.anyUsable(now, t, hosts) {
+	if p.snapshot.slotsScarce && p.anyUsable(now, t, hosts) {
 		candidates = hosts
 	}
 	var best *Target
-	var least time.Duration
+	var lowest time.Duration
 	for _, target := range candidates {
-		if !p.allowed(target, t) || !target.usable(now) || !p.spread.allows(now, target.Region) {
+		if !p.allowed(target, t) || !target.usable(now) || !p.regionSplit.allows(now, target.Region) {
 			continue
 		}
-		cost, ok := p.cost(now, target, t, warmChance(slices.Index(hosts, target)))
-		if ok && (best == nil || cost < least) {
-			best, least = target, cost
+		cost, ok := p.cost(now, target, t, warmProbability(slices.Index(hosts, target)))
+		if ok && (best == nil || cost < lowest) {
+			best, lowest = target, cost
 		}
 	}
 	return best
@@ -116,20 +116,20 @@
 	return inRegions(target.Region, t.Regions)
 }
 
-// held estimates how many requests a target holds: this instance's for certain, and those of others. What others had
+// outstanding estimates how many requests a target holds: this instance's for certain, and those of others. What others had
 // there when it last answered says less the older it is; beyond that the target is taken for an average one. What all
 // instances are told of it is no help here: all would stay away from a target for as long as the news is old, and then all
 // come at once.
-func (p *Placer) held(now time.Time, t *Target) float64 {
-	weight := gauger.Fade(now.Sub(t.othersAt), p.crowd.life)
-	return float64(t.running) + t.others*weight + p.load.crowd*float64(t.Slots)*(1-weight)
+func (p *Placer) outstanding(now time.Time, t *Target) float64 {
+	weight := gauger.Fade(now.Sub(t.othersAt), p.otherLoad.decay)
+	return float64(t.running) + t.others*weight + p.snapshot.othersPerSlot*float64(t.Slots)*(1-weight)
 }
 
-// full is the part of all slots that is taken.
-func (p *Placer) full(now time.Time) float64 {
+// utilisation is the part of all slots that is taken.
+func (p *Placer) utilisation(now time.Time) float64 {
 	held, slots := 0.0, 0.0
 	for _, t := range p.targets {
-		held += min(float64(t.Slots), p.held(now, t))
+		held += min(float64(t.Slots), p.outstanding(now, t))
 		slots += float64(t.Slots)
 	}
 	return held / max(1, slots)
@@ -142,13 +142,13 @@
 
 // cost estimates the time to the answer; false means that the target has no room for one more. Chance is how likely the
 // target has the object warm.
-func (p *Placer) cost(now time.Time, target *Target, t *Ticket, chance float64) (time.Duration, bool) {
-	work := time.Duration(chance*float64(t.WarmTime) + (1-chance)*float64(t.ColdTime))
-	queue := warmQueue * chance
+func (p *Placer) cost(now time.Time, target *Target, t *Ticket, probability float64) (time.Duration, bool) {
+	serviceTime := time.Duration(probability*float64(t.WarmTime) + (1-probability)*float64(t.ColdTime))
+	queue := warmQueue * probability
 	slots := float64(target.Slots)
-	held := p.held(now, target)
-	if t.Priority > p.urgent {
-		queue = min(queue, lesserQueue)
+	held := p.outstanding(now, target)
+	if t.Priority > p.mostUrgent {
+		queue = min(queue, lessUrgentQueue)
 	}
 	if !t.onTime(now) {
 		queue = lateQueue
@@ -156,14 +156,14 @@
 	if held+1 > slots+queue && target.running >= target.OwnSlots {
 		return 0, false
 	}
-	wait := max(0, held+1-slots) / max(1, slots) * float64(p.usual())
-	cost := time.Duration((float64(work) + wait) * target.slowness(now))
+	wait := max(0, held+1-slots) / max(1, slots) * float64(p.typicalServiceTime())
+	cost := time.Duration((float64(serviceTime) + wait) * target.slowdown(now))
 	if target.Region != p.Region {
 		cost += p.InterRegionRTT
 	}
 	if target.Zone != p.Zone {
-		cost += zoneCost
+		cost += crossZoneCost
 	}
 	// Of equals, the emptier one: sends to it collide least with other entry instances'.
-	return cost + time.Duration(held/max(1, slots)*float64(emptier)), true
+	return cost + time.Duration(held/max(1, slots)*float64(fullTargetCost)), true
 }
--- a/core/placer/hosts.go
+++ b/core/placer/hosts.go
@@ -25,7 +25,7 @@
 // start cold in all of them, which a region with few callers takes half a minute for.
 type hosts struct {
 	byRegion map[string][]*Target
-	chosen   map[string][]*Target
+	cached   map[string][]*Target
 	// shares are the parts of the objects whose first host is in each region.
 	shares map[string]float64
 }
@@ -35,45 +35,45 @@
 	for _, t := range targets {
 		h.byRegion[t.Region] = append(h.byRegion[t.Region], t)
 	}
-	h.chosen = map[string][]*Target{}
+	h.cached = map[string][]*Target{}
 }
 
-// prefer takes the parts of the objects that each region is to host first.
-func (h *hosts) prefer(shares map[string]float64) {
+// setShares takes the parts of the objects that each region is to host first.
+func (h *hosts) setShares(shares map[string]float64) {
 	for region, part := range shares {
 		if math.Abs(part-h.shares[region]) > shareStep {
 			h.shares = maps.Clone(shares)
-			h.chosen = map[string][]*Target{}
+			h.cached = map[string][]*Target{}
 			return
 		}
 	}
 }
 
-// of returns the hosts of an object, the first one first.
-func (h *hosts) of(key string) []*Target {
+// forObject returns the hosts forObject an object, the first one first.
+func (h *hosts) forObject(key string) []*Target {
 	if key == "" {
 		return nil
 	}
-	if found, ok := h.chosen[key]; ok {
-		return found
+	if targets, ok := h.cached[key]; ok {
+		return targets
 	}
-	if len(h.chosen) >= maxObjects {
-		h.chosen = map[string][]*Target{}
+	if len(h.cached) >= maxObjects {
+		h.cached = map[string][]*Target{}
 	}
 	var out []*Target
-	for _, region := range h.order(key) {
-		out = append(out, first(key, h.byRegion[region]))
+	for _, region := range h.regionOrder(key) {
+		out = append(out, highestWeight(key, h.byRegion[region]))
 	}
-	h.chosen[key] = out
+	h.cached[key] = out
 	return out
 }
 
-// order returns the regions for an object. Each comes first for its part of the objects, and few objects change their
+// regionOrder returns the regions for an object. Each comes first for its part of the objects, and few objects change their
 // region when the parts change.
-func (h *hosts) order(key string) []string {
+func (h *hosts) regionOrder(key string) []string {
 	scores := map[string]float64{}
 	for region := range h.byRegion {
-		u := (float64(weight(key, region)) + 1) / math.MaxUint64
+		u := (float64(hashWeight(key, region)) + 1) / math.MaxUint64
 		scores[region] = -math.Log(min(u, 1)) / max(minShare, h.shares[region])
 	}
 	return slices.SortedFunc(maps.Keys(scores), func(a, b string) int {
@@ -81,17 +81,17 @@
 	})
 }
 
-func first(key string, list []*Target) *Target {
-	best, most := list[0], weight(key, list[0].Name)
+func highestWeight(key string, list []*Target) *Target {
+	best, most := list[0], hashWeight(key, list[0].Name)
 	for _, t := range list[1:] {
-		if w := weight(key, t.Name); w > most {
+		if w := hashWeight(key, t.Name); w > most {
 			best, most = t, w
 		}
 	}
 	return best
 }
 
-func weight(key, name string) uint64 {
+func hashWeight(key, name string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
 	_, _ = d.WriteString(key)
--- a/core/placer/overflow.go
+++ b/core/placer/overflow.go
@@ -7,16 +7,16 @@
 )
 
 const (
-	// overflowHold is how long a target that took an object's overflow is expected to keep the object warm.
-	overflowHold = 10 * time.Second
-	// awayPart is the part of an instance's requests that may overflow into other regions, and awaySpan the time over
+	// overflowWarmPeriod is how long a target that took an object's overflow is expected to keep the object warm.
+	overflowWarmPeriod = 10 * time.Second
+	// crossRegionFraction is the part of an instance's requests that may overflow into other regions, and awaySpan the time over
 	// which it is counted. All of it can come and go at once with a peak, and links between regions are planned for moves
 	// of 15% in two seconds.
-	awayPart = 0.1
-	awaySpan = 2 * time.Second
-	// coldFree is the part of a target's slots that has to be free for an object's first overflow. That run is cold and
+	crossRegionFraction = 0.1
+	crossRegionWindow   = 2 * time.Second
+	// minFreeForColdRun is the part of a target's slots that has to be free for an object's first overflow. That run is cold and
 	// takes as long as three others.
-	coldFree = 0.25
+	minFreeForColdRun = 0.25
 )
 
 // overflow takes requests whose host has no room for them. It answers the peak at which some targets are full while others
@@ -24,85 +24,85 @@
 // are late or refused, beside idle slots. A run elsewhere is cold at first and then warm, so the object has a second place
 // while its host is short of room, and only then.
 type overflow struct {
-	// taken holds, by object, where its overflow last went.
-	taken map[string]taken
-	// all and away count the requests placed lately, and those of them that overflowed into other regions, as of at.
-	all  float64
-	away float64
-	at   time.Time
+	// recent holds, by object, where its overflow last went.
+	recent map[string]overflowTarget
+	// total and away count the requests placed lately, and those of them that overflowed into other regions, as of at.
+	total       float64
+	crossRegion float64
+	at          time.Time
 }
 
-// taken is a target that took an object's overflow, and until when it is expected to have the object warm.
-type taken struct {
+// overflowTarget is a target that took an object's overflow, and until when it is expected to have the object warm.
+type overflowTarget struct {
 	target    string
 	warmUntil time.Time
 }
 
 // warm reports whether a target took the object's overflow lately.
 func (o *overflow) warm(now time.Time, object, target string) bool {
-	last := o.taken[object]
+	last := o.recent[object]
 	return last.target == target && now.Before(last.warmUntil)
 }
 
-// note remembers a target that runs an object's overflow.
-func (o *overflow) note(now time.Time, object, target string) {
-	if o.taken == nil || len(o.taken) >= maxObjects {
-		o.taken = map[string]taken{}
+// record remembers a target that runs an object's overflow.
+func (o *overflow) record(now time.Time, object, target string) {
+	if o.recent == nil || len(o.recent) >= maxObjects {
+		o.recent = map[string]overflowTarget{}
 	}
-	o.taken[object] = taken{target, now.Add(overflowHold)}
+	o.recent[object] = overflowTarget{target, now.Add(overflowWarmPeriod)}
 }
 
-// placed counts a request; away tells that it overflowed into another region.
-func (o *overflow) placed(now time.Time, away bool) {
-	kept := gauger.Fade(now.Sub(o.at), awaySpan)
-	o.all, o.away, o.at = o.all*kept+1, o.away*kept, now
-	if away {
-		o.away++
+// count counts a request; away tells that it overflowed into another region.
+func (o *overflow) count(now time.Time, crossRegion bool) {
+	kept := gauger.Fade(now.Sub(o.at), crossRegionWindow)
+	o.total, o.crossRegion, o.at = o.total*kept+1, o.crossRegion*kept, now
+	if crossRegion {
+		o.crossRegion++
 	}
 }
 
-// open reports whether one more request may overflow into another region.
-func (o *overflow) open(now time.Time) bool {
-	kept := gauger.Fade(now.Sub(o.at), awaySpan)
-	return o.away*kept+1 <= max(1, awayPart*(o.all*kept+1))
+// allowsCrossRegion reports whether one more request may overflow into another region.
+func (o *overflow) allowsCrossRegion(now time.Time) bool {
+	kept := gauger.Fade(now.Sub(o.at), crossRegionWindow)
+	return o.crossRegion*kept+1 <= max(1, crossRegionFraction*(o.total*kept+1))
 }
 
-// beside returns a target that takes a request whose host is full: one that has the object warm, or, if the request
+// chooseOverflow returns a target that takes a request whose host is full: one that has the object warm, or, if the request
 // would be late at its host, the object's next one by hash.
-func (p *Placer) beside(now time.Time, t *Ticket, host *Target) *Target {
+func (p *Placer) chooseOverflow(now time.Time, t *Ticket, host *Target) *Target {
 	if t.FirstRun || now.Before(t.WarmAt) {
 		return nil
 	}
 	late := !t.onTime(now.Add(p.expectedWait(now, t)))
 	cutOff := now.Add(t.ColdTime).After(t.Deadline)
-	for _, target := range p.hosts.of(t.Key) {
-		if target == host || !p.mayOverflow(now, t, host, target) || p.free(now, target) < 1 {
+	for _, target := range p.hosts.forObject(t.Key) {
+		if target == host || !p.mayOverflow(now, t, host, target) || p.freeSlots(now, target) < 1 {
 			continue
 		}
 		if !p.overflow.warm(now, t.Key, target.Name) {
-			if !late || cutOff || !p.idle(now, host, target) {
+			if !late || cutOff || !p.hasSpareSlots(now, host, target) {
 				continue
 			}
-			p.overflow.note(now, t.Key, target.Name)
+			p.overflow.record(now, t.Key, target.Name)
 		}
 		return target
 	}
 	return nil
 }
 
-// free estimates how many slots of a target are free.
-func (p *Placer) free(now time.Time, target *Target) float64 {
-	return float64(target.Slots) - p.held(now, target)
+// freeSlots estimates how many slots of a target are freeSlots.
+func (p *Placer) freeSlots(now time.Time, target *Target) float64 {
+	return float64(target.Slots) - p.outstanding(now, target)
 }
 
-// idle reports whether a target has slots to spare for runs that start cold, in a region with much less load than the
+// hasSpareSlots reports whether a target has slots to spare for runs that start cold, in a region with much less load than the
 // host's. Where all regions are nearly full, such runs would fill the rest.
-func (p *Placer) idle(now time.Time, host, target *Target) bool {
-	if p.free(now, target) < coldFree*float64(target.Slots) {
+func (p *Placer) hasSpareSlots(now time.Time, host, target *Target) bool {
+	if p.freeSlots(now, target) < minFreeForColdRun*float64(target.Slots) {
 		return false
 	}
-	load := p.spread.load(now, target.Region)
-	return load < crowded && load < lighter*p.spread.load(now, host.Region)
+	load := p.regionSplit.load(now, target.Region)
+	return load < highLoad && load < maxLoadRatio*p.regionSplit.load(now, host.Region)
 }
 
 // mayOverflow reports whether a request may go from its full host to a target. While something is broken, regions take as
@@ -111,5 +111,5 @@
 	if !p.allowed(target, t) || !target.usable(now) || now.Before(target.ColdUntil) {
 		return false
 	}
-	return target.Region == host.Region || p.spread.disturbed(now) || p.overflow.open(now)
+	return target.Region == host.Region || p.regionSplit.unlimited(now) || p.overflow.allowsCrossRegion(now)
 }
--- a/core/placer/overflow_test.go
+++ b/core/placer/overflow_test.go
@@ -40,11 +40,11 @@
 		target.start(p.now)
 		load := &messenger.Load{Running: running + 1, Slots: 9}
 		target.end(p.now, Outcome{ResponseTime: coldRun, ExpectedTime: coldRun, Load: load})
-		for range loadParts {
-			p.spread.see(p.now, target, load)
+		for range loadDivisor {
+			p.regionSplit.observe(p.now, target, load)
 		}
 	}
-	p.crowd.life = time.Hour
+	p.otherLoad.decay = time.Hour
 }
 
 // ask offers a request for an object whose host is the first target of the region.
@@ -61,7 +61,7 @@
 	is := is.New(t)
 	p := newPeak()
 	for range 40 { // requests before the peak, of which a part may overflow
-		p.overflow.placed(p.now, false)
+		p.overflow.count(p.now, false)
 	}
 	first, _ := p.ask("object", 100*time.Millisecond)
 	is.True(first.Target != nil && first.Target.Region != p.Region)
--- a/core/placer/placer.go
+++ b/core/placer/placer.go
@@ -27,8 +27,8 @@
 )
 
 const (
-	// smoothing is the weight of the newest service time: an eighth.
-	smoothing = 8
+	// smoothingDivisor is the weight of the newest service time: an eighth.
+	smoothingDivisor = 8
 	// noTargetRetry is after what a caller is asked back when a service has no target for it: about as long as a target
 	// takes to announce itself.
 	noTargetRetry = time.Second
@@ -60,8 +60,8 @@
 	// Decided receives the decision on a ticket that has to wait; it needs room for one.
 	Decided chan Decision
 
-	arrived time.Time
-	giveUp  time.Time
+	arrived       time.Time
+	queueDeadline time.Time
 }
 
 // Decision is what happened to a ticket.
@@ -94,55 +94,55 @@
 	// InterRegionRTT is what it takes to reach another region and come back.
 	InterRegionRTT time.Duration
 
-	// firstAt is when the first targets became known, met the names of those known since.
-	firstAt time.Time
-	met     map[string]bool
-	targets []*Target
-	byName  map[string]*Target
-	byKey   map[uint32]*Target
-	queue   []*Ticket
-	work    time.Duration
-	// gap is the smoothed time between two placements while requests waited, as of gapAt; placedAt is the last one.
-	gap      time.Duration
-	gapAt    time.Time
-	placedAt time.Time
-	// slots is how many there are, share how many for each entry instance.
-	slots float64
-	share float64
-	// urgent is the most urgent priority seen since the control state last changed.
-	urgent int32
-	spread spread
-	hosts  hosts
-	crowd  crowd
-	load   load
+	// firstTargetAt is when the first targets became known, met the names of those known since.
+	firstTargetAt   time.Time
+	announced       map[string]bool
+	targets         []*Target
+	byName          map[string]*Target
+	byKey           map[uint32]*Target
+	queue           []*Ticket
+	meanServiceTime time.Duration
+	// placementGap is the smoothed time between two placements while requests waited, as of gapAt; placedAt is the last one.
+	placementGap    time.Duration
+	placementGapAt  time.Time
+	lastPlacementAt time.Time
+	// totalSlots is how many there are, share how many for each entry instance.
+	totalSlots       float64
+	slotsPerInstance float64
+	// mostUrgent is the most mostUrgent priority seen since the control state last changed.
+	mostUrgent  int32
+	regionSplit regionSplit
+	hosts       hosts
+	otherLoad   otherLoad
+	snapshot    loadSnapshot
 
 	overflow overflow
 	assigner assigner
 }
 
-// load is what holds for all targets at one moment, worked out once for all decisions of that moment.
-type load struct {
-	crowd float64
-	// scarce: free slots are few. It was worked out at a time, and so many requests were placed or ended since.
-	scarce bool
-	at     time.Time
-	since  float64
+// loadSnapshot is what holds for all targets at one moment, worked out once for all decisions of that moment.
+type loadSnapshot struct {
+	othersPerSlot float64
+	// slotsScarce: free slots are few. It was worked out at a time, and so many requests were placed or ended since.
+	slotsScarce bool
+	takenAt     time.Time
+	changes     float64
 }
 
 const (
-	// fullHold is how long it holds which part of the slots is taken: that needs a walk over all targets.
-	fullHold = 10 * time.Millisecond
-	// fullParts: it holds no longer than for requests that take or leave a fiftieth of the slots.
-	fullParts = 50
+	// snapshotValidity is how long it holds which part of the slots is taken: that needs a walk over all targets.
+	snapshotValidity = 10 * time.Millisecond
+	// snapshotChangeDivisor: it holds no longer than for requests that take or leave a fiftieth of the slots.
+	snapshotChangeDivisor = 50
 )
 
-// look takes the load of this moment.
-func (p *Placer) look(now time.Time) {
-	p.load.crowd = p.crowd.expected(now)
-	if now.Sub(p.load.at) < fullHold && p.load.since < p.slots/fullParts {
+// refreshSnapshot takes the load of this moment.
+func (p *Placer) refreshSnapshot(now time.Time) {
+	p.snapshot.othersPerSlot = p.otherLoad.expected(now)
+	if now.Sub(p.snapshot.takenAt) < snapshotValidity && p.snapshot.changes < p.totalSlots/snapshotChangeDivisor {
 		return
 	}
-	p.load.scarce, p.load.at, p.load.since = p.full(now) > scarceFrom, now, 0
+	p.snapshot.slotsScarce, p.snapshot.takenAt, p.snapshot.changes = p.utilisation(now) > scarceUtilisation, now, 0
 }
 
 // Update follows the control state; entries is how many entry instances share the targets. Targets that stay keep
@@ -155,28 +155,28 @@
 	slots := 0.0
 	regions := map[string]float64{}
 	changed := len(specs) != len(old)
-	if p.firstAt.IsZero() && len(specs) > 0 {
-		p.firstAt, p.met = now, map[string]bool{}
+	if p.firstTargetAt.IsZero() && len(specs) > 0 {
+		p.firstTargetAt, p.announced = now, map[string]bool{}
 	}
 	for _, s := range specs {
 		t, ok := old[s.Name]
 		if !ok || t.Incarnation != s.Incarnation {
 			t = newTarget()
 			changed = true
-			if !p.firstAt.IsZero() && !p.starting(now) {
+			if !p.firstTargetAt.IsZero() && !p.starting(now) {
 				t.joinedAt = now
 			}
 		} else {
 			delete(old, s.Name)
 		}
 		t.Spec = s
-		if ready := t.readyAt(); ready.After(p.assigner.newest) {
-			p.assigner.newest = ready
+		if ready := t.readyAt(); ready.After(p.assigner.newestReadyAt) {
+			p.assigner.newestReadyAt = ready
 		}
 		p.byName[s.Name] = t
 		p.byKey[gauger.Key(s.Name)] = t
 		if p.starting(now) {
-			p.met[s.Name] = true
+			p.announced[s.Name] = true
 		}
 		p.targets = append(p.targets, t)
 		slots += float64(s.Slots)
@@ -184,14 +184,14 @@
 	}
 	slices.SortFunc(p.targets, func(a, b *Target) int { return cmp.Compare(a.Name, b.Name) })
 	p.hosts.reset(p.targets)
-	p.assigner.parts = firstShares(p.Region, regions)
-	p.urgent = math.MaxInt32
-	p.slots, p.share = slots, slots/float64(max(1, entries))
-	p.load.at = time.Time{}
-	p.spread.follow(p.Region, regions)
-	p.spread.entries = float64(entries) / float64(max(1, len(regions)))
+	p.assigner.regionShares = initialShares(p.Region, regions)
+	p.mostUrgent = math.MaxInt32
+	p.totalSlots, p.slotsPerInstance = slots, slots/float64(max(1, entries))
+	p.snapshot.takenAt = time.Time{}
+	p.regionSplit.update(p.Region, regions)
+	p.regionSplit.entries = float64(entries) / float64(max(1, len(regions)))
 	if changed {
-		p.spread.disturb(now)
+		p.regionSplit.liftLimit(now)
 	}
 	return inUse(old)
 }
@@ -211,7 +211,7 @@
 func (p *Placer) ObserveLoads(now time.Time, loads []gauger.Reading) {
 	for _, r := range loads {
 		if t, ok := p.byKey[r.Target]; ok {
-			t.told, t.toldAt = r.PerSlot, now
+			t.sharedLoad, t.sharedLoadAt = r.PerSlot, now
 		}
 	}
 }
@@ -219,22 +219,22 @@
 // Offer places a ticket at once, lets it wait, or refuses it; waiting is reported by false.
 func (p *Placer) Offer(now time.Time, t *Ticket) (Decision, bool) {
 	t.arrived = now
-	p.spread.arrive(now)
-	p.hosts.prefer(p.spread.shares)
-	p.urgent = min(p.urgent, t.Priority)
+	p.regionSplit.recordArrival(now)
+	p.hosts.setShares(p.regionSplit.shares)
+	p.mostUrgent = min(p.mostUrgent, t.Priority)
 	// Without any target that may take it, a request would only wait for its deadline.
 	if !slices.ContainsFunc(p.targets, func(target *Target) bool { return p.allowed(target, t) }) {
 		return Decision{Retry: now.Add(noTargetRetry), Reason: "targets"}, true
 	}
-	p.look(now)
+	p.refreshSnapshot(now)
 	if p.ahead(now, t) == 0 {
 		if target := p.place(now, t); target != nil {
 			return Decision{Target: target}, true
 		}
 	}
 	wait := p.expectedWait(now, t)
-	t.giveUp = p.giveUp(now, t)
-	if now.Add(wait).After(t.giveUp) {
+	t.queueDeadline = p.queueDeadline(now, t)
+	if now.Add(wait).After(t.queueDeadline) {
 		return Decision{Retry: p.retryAt(now, wait), Reason: "full"}, true
 	}
 	p.queue = append(p.queue, t)
@@ -244,18 +244,18 @@
 // Done ends a request at a target and returns what is decided in turn.
 func (p *Placer) Done(now time.Time, t *Target, o Outcome) []Placed {
 	t.end(now, o)
-	p.load.since++
+	p.snapshot.changes++
 	if o.Load != nil {
-		p.crowd.see(now, t)
-		p.spread.see(now, t, o.Load)
+		p.otherLoad.observe(now, t)
+		p.regionSplit.observe(now, t, o.Load)
 	}
 	if o.Unreachable {
-		p.spread.disturb(now)
+		p.regionSplit.liftLimit(now)
 	}
 	if o.ResponseTime > 0 {
-		p.work += (o.ResponseTime - p.work) / smoothing
+		p.meanServiceTime += (o.ResponseTime - p.meanServiceTime) / smoothingDivisor
 	}
-	p.crowd.life = time.Duration(reportFade * float64(p.usual()))
+	p.otherLoad.decay = time.Duration(reportDecayFactor * float64(p.typicalServiceTime()))
 	return p.Tick(now)
 }
 
@@ -270,7 +270,7 @@
 	if len(p.queue) == 0 {
 		return nil
 	}
-	p.look(now)
+	p.refreshSnapshot(now)
 	sort.SliceStable(p.queue, func(i, j int) bool { return less(now, p.queue[i], p.queue[j]) })
 	var out []Placed
 	var rest []*Ticket
@@ -279,7 +279,7 @@
 			out = append(out, Placed{t, Decision{Target: target}})
 			continue
 		}
-		if !now.Before(t.giveUp) {
+		if !now.Before(t.queueDeadline) {
 			out = append(out, Placed{t, Decision{Retry: p.retryAt(now, p.expectedWait(now, t)), Reason: "waited"}})
 			continue
 		}
--- a/core/placer/placer_test.go
+++ b/core/placer/placer_test.go
@@ -112,7 +112,7 @@
 			p.Done(start, decision.Target, Outcome{ResponseTime: time.Second, ExpectedTime: 100 * time.Millisecond})
 		}
 	}
-	is.True(!start.Before(p.spread.free))
+	is.True(!start.Before(p.regionSplit.unlimitedUntil))
 }
 
 // Free slots are few, and the target that keeps a request's object warm has just turned it away. Kept for that target
@@ -126,9 +126,9 @@
 	is.True(decided)
 	k := ticket(0)
 	k.Key = "object"
-	k.Tried = []string{p.hosts.of(k.Key)[0].Name}
+	k.Tried = []string{p.hosts.forObject(k.Key)[0].Name}
 	decision, decided := p.Offer(start, k)
-	is.True(p.load.scarce)
+	is.True(p.snapshot.slotsScarce)
 	is.True(decided && decision.Target != nil)
 }
 
--- a/core/placer/queue.go
+++ b/core/placer/queue.go
@@ -7,27 +7,27 @@
 )
 
 const (
-	// holdParts: a request that can't be on time is held for at most a quarter of the time it has left, for its
+	// lateWaitDivisor: a request that can't be on time is held for at most a quarter of the time it has left, for its
 	// caller can still be served elsewhere or later.
-	holdParts = 4
-	// firstWork is taken for the service time before any has been seen.
-	firstWork = 200 * time.Millisecond
-	// maxGap bounds what one long time without a placement says of the next ones.
-	maxGap = time.Second
-	// gapLife is the time in which what the last placements say of the wait loses two thirds of its weight.
-	gapLife = time.Second
+	lateWaitDivisor = 4
+	// defaultServiceTime is taken for the service time before any has been seen.
+	defaultServiceTime = 200 * time.Millisecond
+	// maxPlacementGap bounds what one long time without a placement says of the next ones.
+	maxPlacementGap = time.Second
+	// placementGapDecay is the time in which what the last placements say of the wait loses two thirds of its weight.
+	placementGapDecay = time.Second
 	// minRetry is the shortest time after which a refused caller is asked back.
 	minRetry = 50 * time.Millisecond
 )
 
-// giveUp is until when a ticket waits: while it can be on time, and a little beyond.
-func (p *Placer) giveUp(now time.Time, t *Ticket) time.Time {
+// queueDeadline is until when a ticket waits: while it can be on time, and a little beyond.
+func (p *Placer) queueDeadline(now time.Time, t *Ticket) time.Time {
 	// A first run that begins later than this would be cut off at the deadline; its caller can come back with time anew.
 	if last := t.Deadline.Add(-t.ColdTime); t.FirstRun && !last.After(t.SoftDeadline) {
 		return last
 	}
 	onTime := t.SoftDeadline.Add(-t.WarmTime)
-	late := now.Add(t.Deadline.Sub(now) / holdParts)
+	late := now.Add(t.Deadline.Sub(now) / lateWaitDivisor)
 	if last := t.Deadline.Add(-t.WarmTime); late.After(last) {
 		late = last
 	}
@@ -74,38 +74,38 @@
 func (p *Placer) expectedWait(now time.Time, t *Ticket) time.Duration {
 	if host := p.host(now, t); host != nil {
 		slots := float64(max(1, host.Slots))
-		queue := time.Duration(float64(p.usual()) * float64(p.ahead(now, t)+1) / slots)
-		queue += time.Duration(float64(t.WarmTime) * max(0, p.waiting(now, host)) / slots)
+		queue := time.Duration(float64(p.typicalServiceTime()) * float64(p.ahead(now, t)+1) / slots)
+		queue += time.Duration(float64(t.WarmTime) * max(0, p.queuedAt(now, host)) / slots)
 		return max(queue, t.WarmAt.Sub(now))
 	}
-	weight := gauger.Fade(now.Sub(p.gapAt), gapLife)
-	even := float64(p.usual()) / max(1, p.share)
-	gap := weight*float64(p.gap) + (1-weight)*even
+	weight := gauger.Fade(now.Sub(p.placementGapAt), placementGapDecay)
+	averageGap := float64(p.typicalServiceTime()) / max(1, p.slotsPerInstance)
+	gap := weight*float64(p.placementGap) + (1-weight)*averageGap
 	return time.Duration(gap * float64(p.ahead(now, t)+1))
 }
 
-// waiting estimates how many requests a target holds beyond its slots: by what this instance knows, or by what all saw if
+// queuedAt estimates how many requests a target holds beyond its slots: by what this instance knows, or by what all saw if
 // that is more. Without that a request for an overfull target would wait here for a room that others always take first.
-func (p *Placer) waiting(now time.Time, host *Target) float64 {
-	held := p.held(now, host)
-	if load, ok := host.heard(now); ok {
+func (p *Placer) queuedAt(now time.Time, host *Target) float64 {
+	held := p.outstanding(now, host)
+	if load, ok := host.recentLoad(now); ok {
 		held = max(held, load*float64(host.Slots))
 	}
 	return held - float64(host.Slots)
 }
 
-// follow notes a placement.
-func (p *Placer) follow(now time.Time) {
-	if len(p.queue) > 0 && !p.placedAt.IsZero() {
-		p.gap += (min(maxGap, now.Sub(p.placedAt)) - p.gap) / smoothing
-		p.gapAt = now
+// recordPlacement notes a placement.
+func (p *Placer) recordPlacement(now time.Time) {
+	if len(p.queue) > 0 && !p.lastPlacementAt.IsZero() {
+		p.placementGap += (min(maxPlacementGap, now.Sub(p.lastPlacementAt)) - p.placementGap) / smoothingDivisor
+		p.placementGapAt = now
 	}
-	p.placedAt = now
+	p.lastPlacementAt = now
 }
 
-func (p *Placer) usual() time.Duration {
-	if p.work == 0 {
-		return firstWork
+func (p *Placer) typicalServiceTime() time.Duration {
+	if p.meanServiceTime == 0 {
+		return defaultServiceTime
 	}
-	return p.work
+	return p.meanServiceTime
 }
--- a/core/placer/replay_test.go
+++ b/core/placer/replay_test.go
@@ -276,7 +276,7 @@
 	var best *instance
 	most := uint64(0)
 	for _, e := range near {
-		if w := weight(strconv.FormatUint(object, 16), e.name); w >= most {
+		if w := hashWeight(strconv.FormatUint(object, 16), e.name); w >= most {
 			best, most = e, w
 		}
 	}
@@ -333,7 +333,7 @@
 			r.settle(e.region, m.Object, m.Assignment)
 		}
 	}
-	r.after(balanceEvery, func() { r.share(start) })
+	r.after(balanceInterval, func() { r.share(start) })
 }
 
 // hear tells the targets' loads.
--- a/core/placer/nights_test.go
+++ b/core/placer/scenarios_test.go
@@ -199,7 +199,7 @@
 func (r *replay) lose(part float64, from, until time.Duration) {
 	all := slices.Clone(r.specs)
 	kept := slices.DeleteFunc(slices.Clone(all), func(s Spec) bool {
-		return float64(weight("lost", s.Name)) < part*math.MaxUint64
+		return float64(hashWeight("lost", s.Name)) < part*math.MaxUint64
 	})
 	r.after(from, func() { r.specs = kept; r.deal(r.now) })
 	r.after(until, func() { r.specs = all; r.deal(r.now) })
--- a/core/placer/spread_test.go
+++ b/core/placer/split_test.go
@@ -24,7 +24,7 @@
 
 func assertShare(t *testing.T, p *Placer, region string, want float64) {
 	t.Helper()
-	is.New(t).True(math.Abs(p.spread.shares[region]-want) < 0.01)
+	is.New(t).True(math.Abs(p.regionSplit.shares[region]-want) < 0.01)
 }
 
 // Before the first callers come, targets announce themselves one after the other. An entry instance of a region with
@@ -56,18 +56,18 @@
 	is := is.New(t)
 	p := &Placer{Region: "few", Zone: "few"}
 	p.Update(start.Add(-time.Minute), unevenSpecs(), 3)
-	s := &p.spread
+	s := &p.regionSplit
 	home := p.byName["few-0"]
 	now := start
 	for s.shares["few"] > 0 && now.Sub(start) < time.Minute {
 		now = now.Add(10 * time.Millisecond)
-		s.see(now, home, &messenger.Load{Running: 6, Waiting: 6, Slots: 6})
-		s.arrive(now)
+		s.observe(now, home, &messenger.Load{Running: 6, Waiting: 6, Slots: 6})
+		s.recordArrival(now)
 	}
 	is.Equal(s.shares["few"], 0.0)
 	for range 2000 {
 		now = now.Add(10 * time.Millisecond)
-		s.arrive(now)
+		s.recordArrival(now)
 	}
 	is.True(s.shares["few"] > 0.3)
 }
