--- a/core/placer/balancer.go
+++ b/core/placer/balancer.go
@@ -65,7 +65,7 @@
 			continue
 		}
 		if target, reason := p.betterTarget(now, object, found, from); target != nil {
-			out = append(out, Move{object, p.assignCold(now, object, found.request(), target, reason)})
+			out = append(out, Move{object, p.assignCold(now, object, found.placementRequest(), target, reason)})
 			// Nobody is sent to run it there first, so nobody is to wait for that run.
 			a.objects[object].warmAt = now
 		}
@@ -73,8 +73,8 @@
 	return out
 }
 
-// request is the last request for an object, or what is known of it without one.
-func (o *assignedObject) request() AssignRequest {
+// placementRequest is the last placementRequest for an object, or what is known of it without one.
+func (o *assignedObject) placementRequest() AssignRequest {
 	request := o.lastRequest
 	request.Route = o.route
 	return request
@@ -143,7 +143,7 @@
 	if a.random(object) >= part {
 		return nil
 	}
-	target := p.leastLoadedTarget(from.Region, now, object+a.rounds, found.request())
+	target := p.leastLoadedTarget(from.Region, now, object+a.rounds, found.placementRequest())
 	if target == nil || target.expectedLoad(now)+a.slotsPerObject/max(1, float64(target.Slots)) > shedLoadRatio*load {
 		return nil
 	}
