--- a/core/placer/assigner.go
+++ b/core/placer/assigner.go
@@ -88,9 +88,9 @@
 	a.owns = owns
 	a.offset, a.ownerCount = float64(position)/float64(max(1, total)), total
 	a.owned = map[uint64]*assignedObject{}
-	for object, found := range a.objects {
+	for object, assigned := range a.objects {
 		if owns(object) {
-			a.owned[object] = found
+			a.owned[object] = assigned
 		}
 	}
 }
@@ -99,12 +99,12 @@
 func (p *Placer) Assign(now time.Time, request AssignRequest) Assignment {
 	a := &p.assigner
 	object := ObjectHash(request.Object)
-	found, ok := a.objects[object]
-	if !ok || !p.Eligible(now, found.target, request.Regions) {
+	assigned, ok := a.objects[object]
+	if !ok || !p.Eligible(now, assigned.target, request.Regions) {
 		return p.assign(now, object, request)
 	}
-	found.lastRequest = request
-	return found.assignment(now)
+	assigned.lastRequest = request
+	return assigned.assignment(now)
 }
 
 // assignment is the answer to a request for an object that has its assignment.
@@ -118,11 +118,11 @@
 
 // Lookup is an object's place as this instance was told or decided itself, false if it has to be asked for.
 func (p *Placer) Lookup(now time.Time, object uint64, regions []string) (Assignment, bool) {
-	found, ok := p.assigner.objects[object]
-	if !ok || !p.Eligible(now, found.target, regions) {
+	assigned, ok := p.assigner.objects[object]
+	if !ok || !p.Eligible(now, assigned.target, regions) {
 		return Assignment{}, false
 	}
-	return found.assignment(now), true
+	return assigned.assignment(now), true
 }
 
 // Supersedes reports whether a place of an object holds instead of another one that was told of. All who hear of both, in
@@ -222,8 +222,8 @@
 
 // Eligible reports whether a target may be used for an object that it has warm.
 func (p *Placer) Eligible(now time.Time, target string, regions []string) bool {
-	found, ok := p.byName[target]
-	return ok && p.eligible(now, found, regions)
+	known, ok := p.byName[target]
+	return ok && p.eligible(now, known, regions)
 }
 
 func inRegions(region string, regions []string) bool {
--- a/core/placer/balancer.go
+++ b/core/placer/balancer.go
@@ -59,13 +59,13 @@
 	p.measureSlotsPerObject(now)
 	var out []Move
 	for _, object := range a.rotatedOwned() {
-		found := a.objects[object]
-		from, ok := p.byName[found.target]
-		if !ok || now.Before(found.warmAt) || !p.eligible(now, from, found.lastRequest.Regions) {
+		assigned := a.objects[object]
+		from, ok := p.byName[assigned.target]
+		if !ok || now.Before(assigned.warmAt) || !p.eligible(now, from, assigned.lastRequest.Regions) {
 			continue
 		}
-		if target, reason := p.betterTarget(now, object, found, from); target != nil {
-			out = append(out, Move{object, p.assignCold(now, object, found.placementRequest(), target, reason)})
+		if target, reason := p.betterTarget(now, object, assigned, from); target != nil {
+			out = append(out, Move{object, p.assignCold(now, object, assigned.placementRequest(), target, reason)})
 			// Nobody is sent to run it there first, so nobody is to wait for that run.
 			a.objects[object].warmAt = now
 		}
@@ -103,18 +103,18 @@
 }
 
 // betterTarget returns the target that an object is to move to now and why, or nil.
-func (p *Placer) betterTarget(now time.Time, object uint64, found *assignedObject, from *Target) (*Target, string) {
-	if target := p.shedTarget(now, object, found, from); target != nil {
+func (p *Placer) betterTarget(now time.Time, object uint64, assigned *assignedObject, from *Target) (*Target, string) {
+	if target := p.shedTarget(now, object, assigned, from); target != nil {
 		return target, "crowded"
 	}
 	a := &p.assigner
-	if !found.placedAt.Before(a.newestReadyAt) {
+	if !assigned.placedAt.Before(a.newestReadyAt) {
 		return nil, ""
 	}
-	if target := p.joinedTarget(now, object, found, from); target != nil && a.takeMove(now, &a.nextJoinMoveAt, joinRate) {
+	if target := p.joinedTarget(now, object, assigned, from); target != nil && a.takeMove(now, &a.nextJoinMoveAt, joinRate) {
 		return target, "joined"
 	}
-	return p.otherRegionTarget(now, object, found, from), "region"
+	return p.otherRegionTarget(now, object, assigned, from), "region"
 }
 
 // takeMove reports whether one more of the instance's objects may move now, at a rate; next is from when on. After a pause
@@ -133,17 +133,17 @@
 
 // shedTarget returns a target with much less load for an object of an overfull one, if the object is of those that go. All who
 // answer for objects there decide by chance, each for as many as together take off what is too much.
-func (p *Placer) shedTarget(now time.Time, object uint64, found *assignedObject, from *Target) *Target {
+func (p *Placer) shedTarget(now time.Time, object uint64, assigned *assignedObject, from *Target) *Target {
 	a := &p.assigner
 	load, ok := from.recentLoad(now)
-	if !ok || load < shedAbove || now.Sub(found.placedAt) < minStay || a.objectCounts[from.Name][allRoutes] < 2 {
+	if !ok || load < shedAbove || now.Sub(assigned.placedAt) < minStay || a.objectCounts[from.Name][allRoutes] < 2 {
 		return nil
 	}
-	part := (load - shedDownTo) / load * balanceInterval.Seconds() / shedPeriod.Seconds()
-	if a.random(object) >= part {
+	fraction := (load - shedDownTo) / load * balanceInterval.Seconds() / shedPeriod.Seconds()
+	if a.random(object) >= fraction {
 		return nil
 	}
-	target := p.leastLoadedTarget(from.Region, now, object+a.rounds, found.placementRequest())
+	target := p.leastLoadedTarget(from.Region, now, object+a.rounds, assigned.placementRequest())
 	if target == nil || target.expectedLoad(now)+a.slotsPerObject/max(1, float64(target.Slots)) > shedLoadRatio*load {
 		return nil
 	}
@@ -157,11 +157,11 @@
 
 // joinedTarget returns a target that became ready after the object was placed, if the object is of those that fall to it. A new
 // target would else stay empty, for all objects have their place.
-func (p *Placer) joinedTarget(now time.Time, object uint64, found *assignedObject, from *Target) *Target {
+func (p *Placer) joinedTarget(now time.Time, object uint64, assigned *assignedObject, from *Target) *Target {
 	near := slices.DeleteFunc(slices.Clone(p.hosts.byRegion[from.Region]), func(t *Target) bool {
-		return !p.eligible(now, t, found.lastRequest.Regions)
+		return !p.eligible(now, t, assigned.lastRequest.Regions)
 	})
-	if target := highestWeight(strconv.FormatUint(object, 16), near); target.readyAt().After(found.placedAt) {
+	if target := highestWeight(strconv.FormatUint(object, 16), near); target.readyAt().After(assigned.placedAt) {
 		return target
 	}
 	return nil
@@ -169,14 +169,14 @@
 
 // otherRegionTarget returns a target in a region that has fewer objects for its part than the object's. A region that had lost all
 // its targets would else stay empty when they are back, for its objects have found places elsewhere.
-func (p *Placer) otherRegionTarget(now time.Time, object uint64, found *assignedObject, from *Target) *Target {
-	if found.lastRequest.Object == "" {
+func (p *Placer) otherRegionTarget(now time.Time, object uint64, assigned *assignedObject, from *Target) *Target {
+	if assigned.lastRequest.Object == "" {
 		return nil
 	}
-	a, to := &p.assigner, p.chooseRegion(now, found.lastRequest)
-	behind := from.Region != to && p.fillRatio(to, found.route, 1) <= p.fillRatio(from.Region, found.route, 0)
+	a, to := &p.assigner, p.chooseRegion(now, assigned.lastRequest)
+	behind := from.Region != to && p.fillRatio(to, assigned.route, 1) <= p.fillRatio(from.Region, assigned.route, 0)
 	if !behind || !a.takeMove(now, &a.nextRegionMoveAt, regionMoveRate) {
 		return nil
 	}
-	return p.leastLoadedTarget(to, now, object, found.lastRequest)
+	return p.leastLoadedTarget(to, now, object, assigned.lastRequest)
 }
--- a/core/placer/balancer_test.go
+++ b/core/placer/balancer_test.go
@@ -10,28 +10,28 @@
 	"chervilrail.example/core/gauger"
 )
 
-// crowdOne has instances answer for objects that all are at one target, which is told to be overfull while others are not.
-func crowdOne(instances, objects int) (list []*Placer, crowded string) {
-	specs := boards()
-	crowded = "most-0"
+// overfillOne has instances answer for objects that all are at one target, which is told to be overfull while others are not.
+func overfillOne(instances, objects int) (list []*Placer, overloaded string) {
+	specs := threeRegionSpecs()
+	overloaded = "most-0"
 	for i := range instances {
-		p := owner("most", specs, i, instances)
+		p := newOwner("most", specs, i, instances)
 		for n := range objects {
-			ask := question(fmt.Sprint(i, "/", n))
-			ask.Hint = crowded
+			ask := newAssignRequest(fmt.Sprint(i, "/", n))
+			ask.Hint = overloaded
 			p.Assign(start, ask)
 		}
 		list = append(list, p)
 	}
-	return list, crowded
+	return list, overloaded
 }
 
-// shed lets all instances balance for a time, while the crowded target's load stays as told, and counts what leaves.
-func shed(list []*Placer, crowded string, load float64, span time.Duration) (moved, crossed int) {
+// balanceAll lets all instances balance for a time, while the crowded target's load stays as told, and counts what leaves.
+func balanceAll(list []*Placer, overloaded string, load float64, span time.Duration) (moved, crossed int) {
 	now := start.Add(minStay)
 	for end := now.Add(span); now.Before(end); now = now.Add(balanceInterval) {
 		for _, p := range list {
-			p.ObserveLoads(now, []gauger.Reading{{Target: gauger.Key(crowded), PerSlot: load}})
+			p.ObserveLoads(now, []gauger.Reading{{Target: gauger.Key(overloaded), PerSlot: load}})
 			for _, m := range p.Balance(now) {
 				moved++
 				if p.byName[m.Target].Region != "most" {
@@ -49,8 +49,8 @@
 	for _, instances := range []int{1, 10} {
 		t.Run(fmt.Sprint(instances), func(t *testing.T) {
 			is := is.New(t)
-			list, crowded := crowdOne(instances, 60/instances)
-			moved, crossed := shed(list, crowded, 2, shedPeriod)
+			list, overloaded := overfillOne(instances, 60/instances)
+			moved, crossed := balanceAll(list, overloaded, 2, shedPeriod)
 			t.Log("moved", moved)
 			is.True(moved >= 12 && moved <= 45) // 60 objects, half too many
 			is.Equal(crossed, 0)
@@ -61,19 +61,19 @@
 // Guards against objects that run cold once more for nothing: at a target with room, and at one that all share.
 func TestObjectsStayWhereMovingDoesNotHelp(t *testing.T) {
 	is := is.New(t)
-	list, crowded := crowdOne(1, 30)
-	moved, _ := shed(list, crowded, 0.9, 10*time.Second)
+	list, overloaded := overfillOne(1, 30)
+	moved, _ := balanceAll(list, overloaded, 0.9, 10*time.Second)
 	is.Equal(moved, 0)
 	t.Run("single", func(t *testing.T) {
-		list, crowded := crowdOne(1, 1)
-		moved, _ := shed(list, crowded, 3, 10*time.Second)
+		list, overloaded := overfillOne(1, 1)
+		moved, _ := balanceAll(list, overloaded, 3, 10*time.Second)
 		is.New(t).Equal(moved, 0)
 	})
 	t.Run("all busy", func(t *testing.T) {
-		list, _ := crowdOne(1, 30)
+		list, _ := overfillOne(1, 30)
 		p := list[0]
 		for now := start.Add(minStay); now.Before(start.Add(10 * time.Second)); now = now.Add(balanceInterval) {
-			for _, s := range boards() {
+			for _, s := range threeRegionSpecs() {
 				p.ObserveLoads(now, []gauger.Reading{{Target: gauger.Key(s.Name), PerSlot: 2}})
 			}
 			is.New(t).Equal(len(p.Balance(now)), 0)
@@ -82,28 +82,28 @@
 }
 
 // Guards against a question for every request, and against instances that hold to a place that another one has changed.
-func TestPlacesAreLearned(t *testing.T) {
+func TestReceivedAssignmentsAreUsed(t *testing.T) {
 	is := is.New(t)
-	p := owner("most", boards(), 0, 2)
+	p := newOwner("most", threeRegionSpecs(), 0, 2)
 	p.SetOwnership(func(uint64) bool { return false }, 0, 2)
 	object := ObjectHash("a")
-	_, known := p.Lookup(start, object, nil)
-	is.True(!known)
+	_, found := p.Lookup(start, object, nil)
+	is.True(!found)
 	p.RecordAssignment(start, object, "most-1", "view", 2)
 	p.RecordAssignment(start, object, "most-2", "view", 1) // late news
-	place, known := p.Lookup(start, object, nil)
-	is.True(known)
+	place, found := p.Lookup(start, object, nil)
+	is.True(found)
 	is.Equal(place.Target, "most-1")
-	_, known = p.Lookup(start, object, []string{"few"})
-	is.True(!known)
+	_, found = p.Lookup(start, object, []string{"few"})
+	is.True(!found)
 	p.RecordAssignment(start, object, "gone", "view", 3)
-	_, known = p.Lookup(start, object, nil)
-	is.True(!known)
+	_, found = p.Lookup(start, object, nil)
+	is.True(!found)
 	t.Run("by the next one to answer", func(t *testing.T) {
 		is := is.New(t)
 		p.RecordAssignment(start, object, "most-3", "view", 7)
 		p.SetOwnership(func(uint64) bool { return true }, 0, 1)
-		is.Equal(p.Assign(start, question("a")).Target, "most-3")
+		is.Equal(p.Assign(start, newAssignRequest("a")).Target, "most-3")
 		is.Equal(len(p.assigner.owned), 1)
 	})
 	t.Run("and counted", func(t *testing.T) {
@@ -115,7 +115,7 @@
 
 // Guards against hundreds of objects that lose their target at once and are all given to the same few: in the half second
 // that news takes, no instance sees what the others choose.
-func TestManyPlaceAtOnceWithoutOneTargetGettingAll(t *testing.T) {
+func TestConcurrentAssignmentsSpreadOverTargets(t *testing.T) {
 	is := is.New(t)
 	var specs []Spec
 	for i := range 60 {
@@ -123,12 +123,12 @@
 	}
 	counts := map[string]int{}
 	for i := range 60 {
-		p := owner("r", specs, i, 60)
+		p := newOwner("r", specs, i, 60)
 		for n := range 180 { // all but a few targets have three objects
 			p.RecordAssignment(start, uint64(n), specs[4+n%56].Name, "view", 1)
 		}
 		for n := range 2 {
-			counts[p.Assign(start, question(fmt.Sprint(i, "/", n))).Target]++
+			counts[p.Assign(start, newAssignRequest(fmt.Sprint(i, "/", n))).Target]++
 		}
 	}
 	most := 0
@@ -141,11 +141,11 @@
 
 // Guards against an entry instance that ends by itself: a plan takes away the regions that a route's objects are in, and
 // then a target joins.
-func TestObjectsOutsideTheirRegionsAreLeftToTheNextRequest(t *testing.T) {
+func TestObjectsOutsideAllowedRegionsAreNotBalanced(t *testing.T) {
 	is := is.New(t)
-	specs := boards()
-	p := owner("most", specs, 0, 1)
-	ask := question("a")
+	specs := threeRegionSpecs()
+	p := newOwner("most", specs, 0, 1)
+	ask := newAssignRequest("a")
 	ask.Hint, ask.Regions = "few-0", []string{"few"}
 	p.Assign(start, ask)
 	p.RecordAssignment(start, ObjectHash("a"), "most-1", "view", 9)
--- a/core/placer/candidates.go
+++ b/core/placer/candidates.go
@@ -35,8 +35,8 @@
 // by those of all, hundreds of objects that want a place at once would all go to the region that is behind.
 func (p *Placer) ownedObjectsIn(region, route string) int {
 	n := 0
-	for _, found := range p.assigner.owned {
-		if target, ok := p.byName[found.target]; ok && target.Region == region && found.route == route {
+	for _, assigned := range p.assigner.owned {
+		if target, ok := p.byName[assigned.target]; ok && target.Region == region && assigned.route == route {
 			n++
 		}
 	}
--- a/core/placer/hosts.go
+++ b/core/placer/hosts.go
@@ -40,8 +40,8 @@
 
 // setShares takes the parts of the objects that each region is to host first.
 func (h *hosts) setShares(shares map[string]float64) {
-	for region, part := range shares {
-		if math.Abs(part-h.shares[region]) > shareStep {
+	for region, share := range shares {
+		if math.Abs(share-h.shares[region]) > shareStep {
 			h.shares = maps.Clone(shares)
 			h.cached = map[string][]*Target{}
 			return
--- a/core/placer/overflow_test.go
+++ b/core/placer/overflow_test.go
@@ -10,28 +10,28 @@
 	"chervilrail.example/core/messenger"
 )
 
-// full is how many requests a target of nine slots holds when it has no room for one more.
-const full = 11
+// fullLoad is how many requests a target of nine slots holds when it has no room for one more.
+const fullLoad = 11
 
-// peak is a region whose targets are full, next to one where a part of the slots is taken.
-type peak struct {
+// peakPlacer is a region whose targets are full, next to one where a part of the slots is taken.
+type peakPlacer struct {
 	*Placer
 	now time.Time
 }
 
-func newPeak() *peak {
-	specs := boards()
+func newPeakPlacer() *peakPlacer {
+	specs := threeRegionSpecs()
 	for i := range specs {
 		specs[i].OwnSlots = 0 // all slots are other instances'
 	}
-	p := owner("most", specs, 0, 1)
-	w := &peak{p, start.Add(time.Minute)} // long after targets came
-	w.loads(full, 2)
+	p := newOwner("most", specs, 0, 1)
+	w := &peakPlacer{p, start.Add(time.Minute)} // long after targets came
+	w.reportLoads(fullLoad, 2)
 	return w
 }
 
-// loads takes reports of all targets: what runs at those of the region, and at all others.
-func (p *peak) loads(home, other int32) {
+// reportLoads takes reports of all targets: what runs at those of the region, and at all others.
+func (p *peakPlacer) reportLoads(home, other int32) {
 	for _, target := range p.targets {
 		running := other
 		if target.Region == p.Region {
@@ -47,10 +47,10 @@
 	p.otherLoad.decay = time.Hour
 }
 
-// ask offers a request for an object whose host is the first target of the region.
-func (p *peak) ask(object string, aim time.Duration) (Decision, bool) {
+// offer offers a request for an object whose host is the first target of the region.
+func (p *peakPlacer) offer(object string, onTimeWithin time.Duration) (Decision, bool) {
 	return p.Offer(p.now, &Ticket{
-		Key: object, Host: "most-0", WarmTime: 250 * time.Millisecond, ColdTime: coldRun, SoftDeadline: p.now.Add(aim),
+		Key: object, Host: "most-0", WarmTime: 250 * time.Millisecond, ColdTime: coldRun, SoftDeadline: p.now.Add(onTimeWithin),
 		Deadline: p.now.Add(4 * time.Second), Decided: make(chan Decision, 1),
 	})
 }
@@ -59,39 +59,39 @@
 // at the host goes there instead of waiting until it is refused; those that follow find the object warm.
 func TestFullHostOverflows(t *testing.T) {
 	is := is.New(t)
-	p := newPeak()
+	p := newPeakPlacer()
 	for range 40 { // requests before the peak, of which a part may overflow
 		p.overflow.count(p.now, false)
 	}
-	first, _ := p.ask("object", 100*time.Millisecond)
+	first, _ := p.offer("object", 100*time.Millisecond)
 	is.True(first.Target != nil && first.Target.Region != p.Region)
-	second, _ := p.ask("object", time.Second)
+	second, _ := p.offer("object", time.Second)
 	is.Equal(second.Target, first.Target)
-	_, decided := p.ask("another", time.Second)
+	_, decided := p.offer("another", time.Second)
 	is.True(!decided) // on time at its host after a short wait
 	t.Run("and comes home when there is room", func(t *testing.T) {
-		p.loads(0, 2)
+		p.reportLoads(0, 2)
 		is.New(t).Equal(len(p.Tick(p.now)), 1)
-		decision, _ := p.ask("object", time.Second)
+		decision, _ := p.offer("object", time.Second)
 		is.New(t).Equal(decision.Target.Name, "most-0")
 	})
 }
 
 // Every region is nearly full. A request that runs cold elsewhere takes as long as three others there, and would
 // turn away two whose objects are warm.
-func TestNoColdOverflowWhereAllAreBusy(t *testing.T) {
+func TestNoColdOverflowWhenAllRegionsAreFull(t *testing.T) {
 	is := is.New(t)
-	p := newPeak()
-	p.loads(full, 8)
-	decision, decided := p.ask("object", 100*time.Millisecond)
+	p := newPeakPlacer()
+	p.reportLoads(fullLoad, 8)
+	decision, decided := p.offer("object", 100*time.Millisecond)
 	is.True(!decided || decision.Target == nil)
 }
 
 // A cold run takes nearly all the time that a booking's route allows. Begun elsewhere, it would be cut off in the middle,
 // with its caller in doubt.
-func TestOverflowThatWouldBeCutOffIsNotBegun(t *testing.T) {
+func TestOverflowThatWouldExceedDeadlineIsNotStarted(t *testing.T) {
 	is := is.New(t)
-	p := newPeak()
+	p := newPeakPlacer()
 	decision, decided := p.Offer(p.now, &Ticket{
 		Key: "object", Host: "most-0", WarmTime: 250 * time.Millisecond, ColdTime: coldRun, SoftDeadline: p.now.Add(100 * time.Millisecond),
 		Deadline: p.now.Add(coldRun / 2), Decided: make(chan Decision, 1),
@@ -101,40 +101,40 @@
 
 // All callers of a region come at once and all its targets are full. If all turned to another region in the same second,
 // they would swamp the links, which are planned for 15% in two seconds.
-func TestOverflowLeavesLinksTheirRoom(t *testing.T) {
+func TestOverflowAcrossRegionsIsLimited(t *testing.T) {
 	is := is.New(t)
-	p := newPeak()
-	away := 0
+	p := newPeakPlacer()
+	crossed := 0
 	const requests = 400
 	for i := range requests {
 		p.now = p.now.Add(5 * time.Millisecond)
-		p.loads(full, 2)
-		decision, _ := p.ask(fmt.Sprint(i), 100*time.Millisecond)
+		p.reportLoads(fullLoad, 2)
+		decision, _ := p.offer(fmt.Sprint(i), 100*time.Millisecond)
 		if decision.Target != nil && decision.Target.Region != p.Region {
-			away++
+			crossed++
 		}
 		for _, target := range p.targets {
 			target.running = 0
 		}
 	}
-	is.True(away > 0)
-	is.True(away <= requests*15/100)
+	is.True(crossed > 0)
+	is.True(crossed <= requests*15/100)
 }
 
 // Objects have one host each, and region after region has its peak: some hosts are asked for more than they have slots
 // while others are half empty. Left to wait for their hosts, a tenth of the requests would be refused beside idle targets.
-func TestPeakOverflows(t *testing.T) {
+func TestRequestsOverflowDuringPeak(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			is := is.New(t)
-			w := boardNight()
-			w.agreed = true
+			w := coldStartWorld()
+			w.assignHosts = true
 			w.kinds[0].rate *= 1.4
-			r := newReplay(seed, false, w)
+			r := newSimulation(seed, false, w)
 			r.run(30*time.Second, 0.55)
-			view := r.score["view"]
-			t.Logf("on time %.3f, refused %.3f", view.part(view.onTime), view.part(view.refused))
-			is.True(view.part(view.refused) < 0.05)
+			view := r.tallies["view"]
+			t.Logf("on time %.3f, refused %.3f", view.fraction(view.onTime), view.fraction(view.refused))
+			is.True(view.fraction(view.refused) < 0.05)
 		})
 	}
 }
--- a/core/placer/placer_test.go
+++ b/core/placer/placer_test.go
@@ -30,17 +30,17 @@
 
 // No target is left that may take the request: none announced itself, all have been tried, or all are in regions that
 // the route forbids. Held until its deadline, its caller could not turn elsewhere.
-func TestHopelessIsRefusedAtOnce(t *testing.T) {
-	tried, abroad := ticket(0), ticket(0)
+func TestRequestWithoutEligibleTargetIsRefusedAtOnce(t *testing.T) {
+	tried, restricted := ticket(0), ticket(0)
 	tried.Tried = []string{"a"}
-	abroad.Regions = []string{"elsewhere"}
+	restricted.Regions = []string{"elsewhere"}
 	cases := map[string]struct {
 		placer *Placer
 		ticket *Ticket
 	}{
 		"no targets": {newPlacer(), ticket(0)},
 		"all tried":  {newPlacer(spec("a")), tried},
-		"forbidden":  {newPlacer(spec("a")), abroad},
+		"forbidden":  {newPlacer(spec("a")), restricted},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -53,7 +53,7 @@
 }
 
 // The only slot is taken and two requests wait. The more urgent one came later and goes first.
-func TestUrgentGoesFirst(t *testing.T) {
+func TestMoreUrgentRequestIsPlacedFirst(t *testing.T) {
 	is := is.New(t)
 	p := newPlacer(spec("a"))
 	first, _ := p.Offer(start, ticket(0))
@@ -68,7 +68,7 @@
 }
 
 // A target has just started. Sent all that its slots could take, it would crash; it gets its rate and no more.
-func TestColdTargetKeepsItsRate(t *testing.T) {
+func TestColdTargetIsRateLimited(t *testing.T) {
 	is := is.New(t)
 	cold := spec("a")
 	cold.Slots, cold.OwnSlots = 100, 100
@@ -86,21 +86,21 @@
 }
 
 // A target can't be reached. It is left alone for longer and longer, and the other one takes over at once.
-func TestUnreachableTargetIsLeftAlone(t *testing.T) {
+func TestUnreachableTargetIsEjected(t *testing.T) {
 	is := is.New(t)
 	p := newPlacer(spec("a"), spec("b"))
-	dead, _ := p.Offer(start, ticket(0))
-	p.Done(start, dead.Target, Outcome{Failed: true, Unreachable: true})
+	unreachable, _ := p.Offer(start, ticket(0))
+	p.Done(start, unreachable.Target, Outcome{Failed: true, Unreachable: true})
 	for range 5 {
 		next, decided := p.Offer(start, ticket(0))
-		is.True(decided && next.Target != nil && next.Target.Name != dead.Target.Name)
+		is.True(decided && next.Target != nil && next.Target.Name != unreachable.Target.Name)
 		p.Done(start, next.Target, Outcome{ResponseTime: time.Millisecond, ExpectedTime: time.Millisecond})
 	}
 }
 
 // The day begins with all targets cold, and their queues make answers take many times as long as usual. That is load,
 // not a failure: taken for one, it would let a region's instances all turn to another region in the same second.
-func TestBusyTargetsDoNotLetRequestsJump(t *testing.T) {
+func TestSlowTargetsDoNotLiftRegionLimit(t *testing.T) {
 	is := is.New(t)
 	home, away := spec("a"), spec("b")
 	away.Region = "elsewhere"
@@ -117,7 +117,7 @@
 
 // Free slots are few, and the target that keeps a request's object warm has just turned it away. Kept for that target
 // alone, the request would wait in vain and be refused, though another one could run it.
-func TestRequestThatItsHostTurnedAwayGoesElsewhere(t *testing.T) {
+func TestRequestRejectedByItsHostGoesElsewhere(t *testing.T) {
 	is := is.New(t)
 	p := newPlacer(spec("a"), spec("b"), spec("c"))
 	busy := ticket(0)
@@ -135,7 +135,7 @@
 // For some seconds hardly any request was placed, because targets were down. They are back and have room; a request that
 // meets a full one for a moment waits for it. Judged by the slow spell, it would be refused at once, and so would all
 // that come after it.
-func TestSlowSpellIsForgotten(t *testing.T) {
+func TestWaitEstimateRecoversAfterSlowPeriod(t *testing.T) {
 	is := is.New(t)
 	p := newPlacer(spec("a"))
 	now := start
--- a/core/placer/scenarios_test.go
+++ b/core/placer/scenarios_test.go
@@ -10,11 +10,11 @@
 	"github.com/matryer/is"
 )
 
-// eventNight is a service whose callers ask for a quarter more than its slots when nothing is warm, with a tenth of
+// peakWorld is a service whose callers ask for a quarter more than its slots when nothing is warm, with a tenth of
 // the targets in a region that has a third of the callers.
-func eventNight() world {
+func peakWorld() world {
 	return world{
-		targets: map[string]int{"one": 10, "two": 2, "three": 8}, entries: 3, keeps: 42, warm: 0.3,
+		targets: map[string]int{"one": 10, "two": 2, "three": 8}, entries: 3, cacheSize: 42, warmFraction: 0.3,
 		kinds: []kind{
 			{"browse", 179, 240 * time.Millisecond, 250 * time.Millisecond, 1200 * time.Millisecond, 2, 44, 1},
 			{"pay", 99, 312 * time.Millisecond, 300 * time.Millisecond, 1500 * time.Millisecond, 1, 24, 1},
@@ -22,11 +22,11 @@
 	}
 }
 
-// grownNight is the same service after ten more clubs have joined: many small entry instances, each of which sees
+// manyInstancesWorld is the same service after ten more clubs have joined: many small entry instances, each of which sees
 // little of what a target does, and objects that only the callers of one region ask for.
-func grownNight() world {
+func manyInstancesWorld() world {
 	return world{
-		targets: map[string]int{"one": 102, "two": 20, "three": 84}, entries: 27, keeps: 22, warm: 0.25, apart: true,
+		targets: map[string]int{"one": 102, "two": 20, "three": 84}, entries: 27, cacheSize: 22, warmFraction: 0.25, separateObjects: true,
 		kinds: []kind{
 			{"browse", 1042, 576 * time.Millisecond, 400 * time.Millisecond, 2500 * time.Millisecond, 2, 241, 1},
 			{"pay", 579, 720 * time.Millisecond, 500 * time.Millisecond, 3000 * time.Millisecond, 1, 134, 1},
@@ -37,24 +37,24 @@
 // Callers peak region after region and ask for more than there would be slots for if nothing were warm. The naive
 // way, which looks at load alone, has half of the requests late; placed by object most are on time, and nearly none
 // is refused.
-func TestEventNight(t *testing.T) {
-	w := eventNight()
+func TestPlacementByObjectDuringPeaks(t *testing.T) {
+	w := peakWorld()
 	for seed := uint64(1); seed <= 3; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			is := is.New(t)
-			naive := newReplay(seed, true, w)
+			naive := newSimulation(seed, true, w)
 			naive.run(30*time.Second, 0.55)
-			placed := newReplay(seed, false, w)
+			placed := newSimulation(seed, false, w)
 			placed.run(30*time.Second, 0.55)
 			t.Logf("worst shift %.3f", placed.worstShift())
 			is.True(placed.worstShift() < 0.15)
 			for _, k := range w.kinds {
-				n, p := naive.score[k.name], placed.score[k.name]
+				n, p := naive.tallies[k.name], placed.tallies[k.name]
 				t.Logf("%s: on time %.3f, naive %.3f; refused %.3f, naive %.3f", k.name,
-					p.part(p.onTime), n.part(n.onTime), p.part(p.refused), n.part(n.refused))
-				is.True(p.part(p.onTime) > 0.9)
-				is.True(p.part(p.onTime) > 1.5*n.part(n.onTime))
-				is.True(p.part(p.refused) < 0.02)
+					p.fraction(p.onTime), n.fraction(n.onTime), p.fraction(p.refused), n.fraction(n.refused))
+				is.True(p.fraction(p.onTime) > 0.9)
+				is.True(p.fraction(p.onTime) > 1.5*n.fraction(n.onTime))
+				is.True(p.fraction(p.refused) < 0.02)
 			}
 		})
 	}
@@ -63,18 +63,18 @@
 // A region with few callers sends some more requests to one region now and some more to another two seconds later, by
 // chance alone. Left to itself, that adds up to a move of a fifth of its requests at once, which the links between
 // regions are not planned for.
-func TestChanceIsNoMove(t *testing.T) {
+func TestRandomVariationDoesNotShiftRegions(t *testing.T) {
 	for _, load := range []float64{0.8, 1, 1.4} {
 		t.Run(fmt.Sprint(load), func(t *testing.T) {
 			is := is.New(t)
 			worst := 0.0
 			for seed := uint64(1); seed <= 10; seed++ {
-				w := eventNight()
-				w.apart = true
+				w := peakWorld()
+				w.separateObjects = true
 				for i := range w.kinds {
 					w.kinds[i].rate *= load
 				}
-				r := newReplay(seed, false, w)
+				r := newSimulation(seed, false, w)
 				r.run(30*time.Second, 0.55)
 				worst = max(worst, r.worstShift())
 			}
@@ -88,45 +88,45 @@
 // worse than the less urgent one, and slots must not go to runs that start cold or end late. Without the rules for
 // scarce slots, 0.41 of browse and 0.60 of pay are on time here; without the bound on what moves between regions, 0.65
 // and 0.88.
-func TestRush(t *testing.T) {
-	w := eventNight()
+func TestOverloadKeepsUrgentRequests(t *testing.T) {
+	w := peakWorld()
 	for i := range w.kinds {
 		w.kinds[i].rate *= 2.5
 	}
 	is := is.New(t)
-	r := newReplay(7, false, w)
+	r := newSimulation(7, false, w)
 	r.run(20*time.Second, 0.4)
-	browse, pay := r.score["browse"], r.score["pay"]
+	browse, pay := r.tallies["browse"], r.tallies["pay"]
 	t.Logf("pay %+v browse %+v", *pay, *browse)
-	is.True(pay.part(pay.refused) <= browse.part(browse.refused))
-	is.True(pay.part(pay.onTime) > 0.75)
-	is.True(browse.part(browse.onTime) > 0.5)
+	is.True(pay.fraction(pay.refused) <= browse.fraction(browse.refused))
+	is.True(pay.fraction(pay.onTime) > 0.75)
+	is.True(browse.fraction(browse.onTime) > 0.5)
 }
 
-// boardNight asks for half of the slots if objects are warm and for more than all of them if they are not; all begin cold.
-func boardNight() world {
+// coldStartWorld asks for half of the slots if objects are warm and for more than all of them if they are not; all begin cold.
+func coldStartWorld() world {
 	return world{
-		targets: map[string]int{"one": 18, "two": 6, "three": 18}, entries: 4, keeps: 13, warm: 0.3, apart: true,
+		targets: map[string]int{"one": 18, "two": 6, "three": 18}, entries: 4, cacheSize: 13, warmFraction: 0.3, separateObjects: true,
 		kinds: []kind{{"view", 223, 880 * time.Millisecond, 600 * time.Millisecond, 4 * time.Second, 2, 44, 1}},
 	}
 }
 
 // All objects begin cold, and run cold for more than all slots. One instance answers for each object, so that it runs cold
 // once and not beside itself: most requests are on time once the first runs are over, for as long as the load lasts.
-func TestAgreedHostsLeaveTheColdState(t *testing.T) {
+func TestAssignedHostsLeaveColdState(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			is := is.New(t)
-			w := boardNight()
-			w.agreed = true
-			agreed := newReplay(seed, false, w)
+			w := coldStartWorld()
+			w.assignHosts = true
+			agreed := newSimulation(seed, false, w)
 			agreed.run(30*time.Second, 0.55)
-			naive := newReplay(seed, true, w)
+			naive := newSimulation(seed, true, w)
 			naive.run(30*time.Second, 0.55)
-			a, n := agreed.score["view"], naive.score["view"]
-			t.Logf("on time %.3f, naive %.3f", a.part(a.onTime), n.part(n.onTime))
-			is.True(a.part(a.onTime) > 0.8)
-			is.True(a.part(a.onTime) > 1.5*n.part(n.onTime))
+			a, n := agreed.tallies["view"], naive.tallies["view"]
+			t.Logf("on time %.3f, naive %.3f", a.fraction(a.onTime), n.fraction(n.onTime))
+			is.True(a.fraction(a.onTime) > 0.8)
+			is.True(a.fraction(a.onTime) > 1.5*n.fraction(n.onTime))
 		})
 	}
 }
@@ -134,15 +134,15 @@
 // Objects have their places in several regions, and by chance callers ask more for those of one region now and more for
 // those of another two seconds later, while some objects leave a crowded region. More requests than the links between
 // regions are planned for change the region they run in at once.
-func TestChanceIsNoMoveWithAgreedHosts(t *testing.T) {
+func TestRandomVariationDoesNotShiftRegionsWithAssignedHosts(t *testing.T) {
 	for _, load := range []float64{0.8, 1, 1.4} {
 		t.Run(fmt.Sprint(load), func(t *testing.T) {
 			worst := 0.0
 			for seed := uint64(1); seed <= 5; seed++ {
-				w := boardNight()
-				w.agreed = true
+				w := coldStartWorld()
+				w.assignHosts = true
 				w.kinds[0].rate *= load
-				r := newReplay(seed, false, w)
+				r := newSimulation(seed, false, w)
 				r.run(30*time.Second, 0.55)
 				worst = max(worst, r.worstShift())
 			}
@@ -156,7 +156,7 @@
 // for empty in between, all targets would get more than their slots: callers would wait in queues where nobody can be
 // overtaken. With that, and with a host for each object in every region, 0.80 of browse and 0.81 of pay are on time here,
 // and 0.72 and 0.74 with a third more callers.
-func TestGrownNight(t *testing.T) {
+func TestManyInstancesWithRareReports(t *testing.T) {
 	cases := map[string]struct {
 		load        float64
 		browse, pay float64
@@ -167,27 +167,27 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			w := grownNight()
+			w := manyInstancesWorld()
 			for i := range w.kinds {
 				w.kinds[i].rate *= c.load
 			}
-			r := newReplay(1, false, w)
+			r := newSimulation(1, false, w)
 			r.run(30*time.Second, 0.55)
-			browse, pay := r.score["browse"], r.score["pay"]
+			browse, pay := r.tallies["browse"], r.tallies["pay"]
 			t.Logf("pay %+v browse %+v, worst shift %.3f", *pay, *browse, r.worstShift())
-			is.True(browse.part(browse.onTime) > c.browse)
-			is.True(pay.part(pay.onTime) > c.pay)
-			is.True(pay.part(pay.refused) <= browse.part(browse.refused))
+			is.True(browse.fraction(browse.onTime) > c.browse)
+			is.True(pay.fraction(pay.onTime) > c.pay)
+			is.True(pay.fraction(pay.refused) <= browse.fraction(browse.refused))
 			is.True(r.worstShift() < 0.15)
 		})
 	}
 }
 
-// largeNight is a service with sixty entry instances in each region, of which each sees one request of an object in
+// largeWorld is a service with sixty entry instances in each region, of which each sees one request of an object in
 // sixty, and targets of three slots. Some objects are asked for more than others. Warm, they ask for a third of the slots.
-func largeNight() world {
+func largeWorld() world {
 	return world{
-		targets: map[string]int{"one": 80, "two": 80, "three": 80}, entries: 60, keeps: 22, warm: 0.3, apart: true, agreed: true,
+		targets: map[string]int{"one": 80, "two": 80, "three": 80}, entries: 60, cacheSize: 22, warmFraction: 0.3, separateObjects: true, assignHosts: true,
 		kinds: []kind{
 			{"browse", 330, 1248 * time.Millisecond, 800 * time.Millisecond, 5 * time.Second, 2, 110, 1.5},
 			{"pay", 185, 1632 * time.Millisecond, time.Second, 6 * time.Second, 1, 60, 1.5},
@@ -195,43 +195,43 @@
 	}
 }
 
-// lose takes a part of every region's targets out for a while.
-func (r *replay) lose(part float64, from, until time.Duration) {
+// withdrawTargets takes a part of every region's targets out for a while.
+func (r *simulation) withdrawTargets(fraction float64, from, until time.Duration) {
 	all := slices.Clone(r.specs)
 	kept := slices.DeleteFunc(slices.Clone(all), func(s Spec) bool {
-		return float64(hashWeight("lost", s.Name)) < part*math.MaxUint64
+		return float64(hashWeight("lost", s.Name)) < fraction*math.MaxUint64
 	})
-	r.after(from, func() { r.specs = kept; r.deal(r.now) })
-	r.after(until, func() { r.specs = all; r.deal(r.now) })
+	r.after(from, func() { r.specs = kept; r.updateTargets(r.now) })
+	r.after(until, func() { r.specs = all; r.updateTargets(r.now) })
 }
 
 // Guards against targets that hold three times their slots for the rest of a day while others idle: no instance sees what
 // the others gave to a target, and once a loss has thrown objects together they never part again.
-func TestLoadComesOutEvenAtSize(t *testing.T) {
-	w := largeNight()
+func TestLoadIsBalancedAtScale(t *testing.T) {
+	w := largeWorld()
 	for i := range w.kinds {
 		w.kinds[i].rate *= 1.5
 	}
-	play := func(seed uint64, deaf bool) *replay {
-		w.deaf = deaf
-		r := newReplay(seed, false, w)
-		r.lose(0.4, 5*time.Second, 9*time.Second)
+	simulate := func(seed uint64, isolated bool) *simulation {
+		w.isolated = isolated
+		r := newSimulation(seed, false, w)
+		r.withdrawTargets(0.4, 5*time.Second, 9*time.Second)
 		r.run(30*time.Second, 0.55)
 		return r
 	}
 	for seed := uint64(1); seed <= 2; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			is := is.New(t)
-			told, deaf := play(seed, false), play(seed, true)
-			t.Logf("load per slot p90 %.2f p99 %.2f, unheard p90 %.2f p99 %.2f, worst shift %.3f", told.busiest(0.9),
-				told.busiest(0.99), deaf.busiest(0.9), deaf.busiest(0.99), told.worstShift())
-			is.True(told.worstShift() < 0.15)
+			informed, isolated := simulate(seed, false), simulate(seed, true)
+			t.Logf("load per slot p90 %.2f p99 %.2f, unheard p90 %.2f p99 %.2f, worst shift %.3f", informed.loadPercentile(0.9),
+				informed.loadPercentile(0.99), isolated.loadPercentile(0.9), isolated.loadPercentile(0.99), informed.worstShift())
+			is.True(informed.worstShift() < 0.15)
 			for _, k := range w.kinds {
-				a, b := told.score[k.name], deaf.score[k.name]
+				a, b := informed.tallies[k.name], isolated.tallies[k.name]
 				t.Logf("%s: on time %.3f, unheard %.3f; refused %.3f, unheard %.3f", k.name,
-					a.part(a.onTime), b.part(b.onTime), a.part(a.refused), b.part(b.refused))
-				is.True(a.part(a.onTime) > 1.08*b.part(b.onTime))
-				is.True(a.part(a.refused) < b.part(b.refused))
+					a.fraction(a.onTime), b.fraction(b.onTime), a.fraction(a.refused), b.fraction(b.refused))
+				is.True(a.fraction(a.onTime) > 1.08*b.fraction(b.onTime))
+				is.True(a.fraction(a.refused) < b.fraction(b.refused))
 			}
 		})
 	}
--- a/core/placer/replay_test.go
+++ b/core/placer/simulation_test.go
@@ -15,33 +15,33 @@
 	"chervilrail.example/core/partitioner"
 )
 
-// replay is a small world in logical time: targets that work faster on objects they handled lately, several entry
+// simulation is a small world in logical time: targets that work faster on objects they handled lately, several entry
 // instances a region, and callers whose load rises and falls, region after region.
-type replay struct {
+type simulation struct {
 	random  *rand.Rand
 	now     time.Time
 	events  events
-	targets map[string]*worker
+	targets map[string]*simulatedTarget
 	specs   []Spec
 	entries []*instance
 	kinds   []kind
 	// naive places with the emptier of two random targets, and serves in order of arrival.
-	naive bool
-	world world
-	score map[string]*tally
-	start time.Time
-	span  time.Duration
-	// gauges are the regions' pictures of the targets' loads, told what of them was passed on.
-	gauges map[string]*gauger.Gauge
-	told   map[string]uint64
-	// busy holds the requests per slot of every target, sampled while the load lasts.
-	busy []float64
+	naive   bool
+	world   world
+	tallies map[string]*tally
+	start   time.Time
+	span    time.Duration
+	// regionLoads are the regions' pictures of the targets' loads, told what of them was passed on.
+	regionLoads map[string]*gauger.Gauge
+	published   map[string]uint64
+	// loadSamples holds the requests per slot of every target, sampled while the load lasts.
+	loadSamples []float64
 	// flows counts requests by two seconds, the region they came from and the region they ran in.
 	flows map[int]map[string]map[string]int
 }
 
-// ran notes where a request runs.
-func (r *replay) ran(from, to string) {
+// recordFlow notes where a request runs.
+func (r *simulation) recordFlow(from, to string) {
 	window := int(r.now.Sub(r.start) / shiftWindow)
 	if r.flows[window] == nil {
 		r.flows[window] = map[string]map[string]int{}
@@ -56,20 +56,20 @@
 
 // worstShift is the largest part of one region's requests that changed the region they ran in, from one window to
 // the next.
-func (r *replay) worstShift() float64 {
+func (r *simulation) worstShift() float64 {
 	worst := 0.0
 	for window, flows := range r.flows {
 		if time.Duration(window+2)*shiftWindow > r.span {
 			continue // the last callers only wait for their answers
 		}
 		for from, now := range flows {
-			worst = max(worst, moved(r.flows[window+1][from], now))
+			worst = max(worst, shiftBetween(r.flows[window+1][from], now))
 		}
 	}
 	return worst
 }
 
-func moved(next, now map[string]int) float64 {
+func shiftBetween(next, now map[string]int) float64 {
 	a, b := 0, 0
 	for _, n := range now {
 		a += n
@@ -88,20 +88,20 @@
 }
 
 type kind struct {
-	name     string
-	rate     float64
-	work     time.Duration
-	aim      time.Duration
-	deadline time.Duration
-	priority int32
-	objects  int
+	name         string
+	rate         float64
+	work         time.Duration
+	softDeadline time.Duration
+	deadline     time.Duration
+	priority     int32
+	objects      int
 	// skew above 1 has callers ask for the first objects more than for the last ones.
 	skew float64
 }
 
-type tally struct{ asked, onTime, late, refused int }
+type tally struct{ offered, onTime, late, refused int }
 
-type worker struct {
+type simulatedTarget struct {
 	spec    Spec
 	running int32
 	waiting []func()
@@ -115,9 +115,9 @@
 }
 
 const (
-	workerQueue = 9
-	farOneWay   = 35 * time.Millisecond
-	callerWay   = 8 * time.Millisecond
+	targetQueue        = 9
+	interRegionLatency = 35 * time.Millisecond
+	callerLatency      = 8 * time.Millisecond
 )
 
 // world is what a replay is made of.
@@ -126,14 +126,14 @@
 	targets map[string]int
 	entries int
 	kinds   []kind
-	// keeps is how many objects a target keeps warm, warm the part of the work that is left then.
-	keeps int
-	warm  float64
-	// apart: the callers of each region have objects of their own.
-	apart bool
-	// agreed: one entry instance of a region answers for each object; deaf: the others hear nothing from it but answers.
-	agreed bool
-	deaf   bool
+	// cacheSize is how many objects a target cacheSize warm, warm the part of the work that is left then.
+	cacheSize    int
+	warmFraction float64
+	// separateObjects: the callers of each region have objects of their own.
+	separateObjects bool
+	// assignHosts: one entry instance of a region answers for each object; deaf: the others hear nothing from it but answers.
+	assignHosts bool
+	isolated    bool
 }
 
 type event struct {
@@ -153,39 +153,39 @@
 	return last
 }
 
-func (r *replay) after(d time.Duration, do func()) { heap.Push(&r.events, event{r.now.Add(d), do}) }
+func (r *simulation) after(d time.Duration, do func()) { heap.Push(&r.events, event{r.now.Add(d), do}) }
 
-// newReplay builds a service of three regions whose targets are spread unevenly, as they are where the load is worst.
-func newReplay(seed uint64, naive bool, w world) *replay {
-	r := &replay{
-		random: rand.New(rand.NewPCG(seed, 1)), now: time.Unix(1000, 0), targets: map[string]*worker{},
-		kinds: w.kinds, naive: naive, score: map[string]*tally{}, flows: map[int]map[string]map[string]int{}, world: w,
-		gauges: map[string]*gauger.Gauge{}, told: map[string]uint64{},
+// newSimulation builds a service of three regions whose targets are spread unevenly, as they are where the load is worst.
+func newSimulation(seed uint64, naive bool, w world) *simulation {
+	r := &simulation{
+		random: rand.New(rand.NewPCG(seed, 1)), now: time.Unix(1000, 0), targets: map[string]*simulatedTarget{},
+		kinds: w.kinds, naive: naive, tallies: map[string]*tally{}, flows: map[int]map[string]map[string]int{}, world: w,
+		regionLoads: map[string]*gauger.Gauge{}, published: map[string]uint64{},
 	}
 	r.start = r.now
 	for _, region := range slices.Sorted(maps.Keys(w.targets)) {
 		for i := range w.targets[region] {
 			s := Spec{Name: fmt.Sprintf("%s-%d", region, i), Region: region, Zone: region, Slots: 3}
 			r.specs = append(r.specs, s)
-			r.targets[s.Name] = &worker{spec: s}
+			r.targets[s.Name] = &simulatedTarget{spec: s}
 		}
 	}
 	for _, region := range slices.Sorted(maps.Keys(w.targets)) {
-		r.gauges[region] = &gauger.Gauge{}
+		r.regionLoads[region] = &gauger.Gauge{}
 		for i := range w.entries {
-			p := &Placer{Region: region, Zone: region, InterRegionRTT: 2 * farOneWay}
+			p := &Placer{Region: region, Zone: region, InterRegionRTT: 2 * interRegionLatency}
 			r.entries = append(r.entries, &instance{fmt.Sprintf("%s-%d", region, i), region, p})
 		}
 	}
-	r.deal(r.now.Add(-time.Minute))
+	r.updateTargets(r.now.Add(-time.Minute))
 	for _, k := range w.kinds {
-		r.score[k.name] = &tally{}
+		r.tallies[k.name] = &tally{}
 	}
 	return r
 }
 
-// deal gives the targets' slots to the entry instances, as the watcher does.
-func (r *replay) deal(at time.Time) {
+// updateTargets gives the targets' slots to the entry instances, as the watcher does.
+func (r *simulation) updateTargets(at time.Time) {
 	var instances []partitioner.Instance
 	for _, e := range r.entries {
 		instances = append(instances, partitioner.Instance{Name: e.name, Region: e.region})
@@ -200,22 +200,22 @@
 			specs[i].OwnSlots = own
 		}
 		e.placer.Update(at, specs, len(r.entries))
-		near := r.near(e.region)
+		near := r.instancesIn(e.region)
 		owns := func(object uint64) bool { return ownerOf(object, near) == e }
 		e.placer.SetOwnership(owns, slices.Index(near, e), r.world.entries)
 	}
 }
 
-func (r *replay) run(span time.Duration, swing float64) {
+func (r *simulation) run(span time.Duration, swing float64) {
 	start := r.now
 	r.span = span
-	if r.world.agreed {
-		r.share(start)
+	if r.world.assignHosts {
+		r.exchange(start)
 	}
 	for i, e := range r.entries {
 		phase := float64(i/r.world.entries) / 3
 		for _, k := range r.kinds {
-			r.arrive(e, k, start, span, swing, phase)
+			r.scheduleArrival(e, k, start, span, swing, phase)
 		}
 	}
 	for len(r.events) > 0 {
@@ -225,7 +225,7 @@
 	}
 }
 
-func (r *replay) arrive(e *instance, k kind, start time.Time, span time.Duration, swing, phase float64) {
+func (r *simulation) scheduleArrival(e *instance, k kind, start time.Time, span time.Duration, swing, phase float64) {
 	elapsed := r.now.Sub(start)
 	if elapsed > span {
 		return
@@ -235,27 +235,27 @@
 	gap := time.Duration(r.random.ExpFloat64() / rate * float64(time.Second))
 	r.after(gap, func() {
 		r.offer(e, k)
-		r.arrive(e, k, start, span, swing, phase)
+		r.scheduleArrival(e, k, start, span, swing, phase)
 	})
 }
 
-func (r *replay) offer(e *instance, k kind) {
-	r.score[k.name].asked++
+func (r *simulation) offer(e *instance, k kind) {
+	r.tallies[k.name].offered++
 	arrived := r.now
 	object := r.random.IntN(k.objects)
 	if k.skew > 1 {
 		object = int(float64(k.objects) * math.Pow(r.random.Float64(), k.skew))
 	}
 	key := fmt.Sprintf("%s/%d", k.name, object)
-	if r.world.apart {
+	if r.world.separateObjects {
 		key = e.region + "/" + key
 	}
 	t := &Ticket{
 		Key: key, Priority: k.priority,
-		SoftDeadline: arrived.Add(k.aim - 2*callerWay), Deadline: arrived.Add(k.deadline),
-		WarmTime: time.Duration(r.world.warm * float64(k.work)), ColdTime: k.work, Decided: make(chan Decision, 1),
+		SoftDeadline: arrived.Add(k.softDeadline - 2*callerLatency), Deadline: arrived.Add(k.deadline),
+		WarmTime: time.Duration(r.world.warmFraction * float64(k.work)), ColdTime: k.work, Decided: make(chan Decision, 1),
 	}
-	if r.world.agreed {
+	if r.world.assignHosts {
 		r.locate(e, k, t)
 	}
 	done := func(d Decision) { r.send(e, k, t, d, arrived) }
@@ -272,10 +272,10 @@
 }
 
 // ownerOf returns the entry instance of a region that answers for an object.
-func ownerOf(object uint64, near []*instance) *instance {
+func ownerOf(object uint64, instances []*instance) *instance {
 	var best *instance
 	most := uint64(0)
-	for _, e := range near {
+	for _, e := range instances {
 		if w := hashWeight(strconv.FormatUint(object, 16), e.name); w >= most {
 			best, most = e, w
 		}
@@ -283,92 +283,92 @@
 	return best
 }
 
-func (r *replay) near(region string) []*instance {
+func (r *simulation) instancesIn(region string) []*instance {
 	at := slices.IndexFunc(r.entries, func(o *instance) bool { return o.region == region })
 	return r.entries[at : at+r.world.entries]
 }
 
 // locate finds where a request should go, by asking the instance that answers for the object if need be.
-func (r *replay) locate(e *instance, k kind, t *Ticket) {
+func (r *simulation) locate(e *instance, k kind, t *Ticket) {
 	object := ObjectHash(t.Key)
 	place, ok := e.placer.Lookup(r.now, object, nil)
 	if !ok {
-		place = ownerOf(object, r.near(e.region)).placer.Assign(r.now, AssignRequest{Object: t.Key, Route: k.name, ColdTime: t.ColdTime})
+		place = ownerOf(object, r.instancesIn(e.region)).placer.Assign(r.now, AssignRequest{Object: t.Key, Route: k.name, ColdTime: t.ColdTime})
 	}
 	if place.Changed {
-		r.settle(e.region, object, place)
+		r.publishAssignment(e.region, object, place)
 	}
 	t.Host, t.WarmAt, t.FirstRun = place.Target, place.WarmAt, place.FirstRun
 }
 
-// settle tells all instances of a region about a place, as the controllers do.
-func (r *replay) settle(region string, object uint64, place Assignment) {
-	if r.world.deaf {
+// publishAssignment tells all instances of a region about a place, as the controllers do.
+func (r *simulation) publishAssignment(region string, object uint64, place Assignment) {
+	if r.world.isolated {
 		return
 	}
-	r.after(tellDelay, func() {
-		for _, e := range r.near(region) {
+	r.after(publishDelay, func() {
+		for _, e := range r.instancesIn(region) {
 			e.placer.RecordAssignment(r.now, object, place.Target, place.Route, place.Version)
 		}
 	})
 }
 
 const (
-	// tellDelay is what news takes from one instance to the others, hearEvery how often loads are told.
-	tellDelay = 500 * time.Millisecond
-	hearEvery = time.Second
+	// publishDelay is what news takes from one instance to the others, hearEvery how often loads are told.
+	publishDelay    = 500 * time.Millisecond
+	publishInterval = time.Second
 )
 
-// share has instances balance their objects and hear of the targets' loads for as long as the load lasts.
-func (r *replay) share(start time.Time) {
+// exchange has instances balance their objects and hear of the targets' loads for as long as the load lasts.
+func (r *simulation) exchange(start time.Time) {
 	if r.now.Sub(start) > r.span {
 		return
 	}
-	if r.now.Sub(start)%hearEvery == 0 {
-		r.sample(start)
-		r.hear()
+	if r.now.Sub(start)%publishInterval == 0 {
+		r.sampleLoads(start)
+		r.publishLoads()
 	}
 	for _, e := range r.entries {
 		for _, m := range e.placer.Balance(r.now) {
-			r.settle(e.region, m.Object, m.Assignment)
+			r.publishAssignment(e.region, m.Object, m.Assignment)
 		}
 	}
-	r.after(balanceInterval, func() { r.share(start) })
+	r.after(balanceInterval, func() { r.exchange(start) })
 }
 
-// hear tells the targets' loads.
-func (r *replay) hear() {
-	for region, g := range r.gauges {
-		news := g.Since(r.told[region])
-		r.told[region] = g.Counter()
-		for _, e := range r.near(region) {
-			if !r.world.deaf {
-				e.placer.ObserveLoads(r.now, news)
+// publishLoads tells the targets' loads.
+func (r *simulation) publishLoads() {
+	for region, g := range r.regionLoads {
+		readings := g.Since(r.published[region])
+		r.published[region] = g.Counter()
+		for _, e := range r.instancesIn(region) {
+			if !r.world.isolated {
+				e.placer.ObserveLoads(r.now, readings)
 			}
 		}
 	}
 }
 
-// sample notes how busy the targets are, in the second half.
-func (r *replay) sample(start time.Time) {
+// sampleLoads notes how busy the targets are, in the second half.
+func (r *simulation) sampleLoads(start time.Time) {
 	if r.now.Sub(start) < r.span/2 {
 		return
 	}
 	for _, w := range r.targets {
-		r.busy = append(r.busy, float64(int(w.running)+len(w.waiting))/float64(w.spec.Slots))
+		r.loadSamples = append(r.loadSamples, float64(int(w.running)+len(w.waiting))/float64(w.spec.Slots))
 	}
 }
 
-// busiest returns the load that a part of the targets stays below.
-func (r *replay) busiest(part float64) float64 {
-	slices.Sort(r.busy)
-	return r.busy[int(part*float64(len(r.busy)-1))]
+// loadPercentile returns the load that a part of the targets stays below.
+func (r *simulation) loadPercentile(part float64) float64 {
+	slices.Sort(r.loadSamples)
+	return r.loadSamples[int(part*float64(len(r.loadSamples)-1))]
 }
 
 // await looks after a waiting ticket as the tick of an entry instance does.
-func (r *replay) await(e *instance, k kind, t *Ticket, done func(Decision)) {
+func (r *simulation) await(e *instance, k kind, t *Ticket, done func(Decision)) {
 	r.after(10*time.Millisecond, func() {
-		e.placer.tell(r.now)
+		e.placer.deliver(r.now)
 		select {
 		case decision := <-t.Decided:
 			r.decided(k, decision, done)
@@ -378,21 +378,21 @@
 	})
 }
 
-func (p *Placer) tell(now time.Time) {
+func (p *Placer) deliver(now time.Time) {
 	for _, placed := range p.Tick(now) {
 		placed.Ticket.Decided <- placed.Decision
 	}
 }
 
-func (r *replay) decided(k kind, d Decision, done func(Decision)) {
+func (r *simulation) decided(k kind, d Decision, done func(Decision)) {
 	if d.Target == nil {
-		r.score[k.name].refused++
+		r.tallies[k.name].refused++
 		return
 	}
 	done(d)
 }
 
-func (r *replay) pickNaively(e *instance) *Target {
+func (r *simulation) pickNaively(e *instance) *Target {
 	a := e.placer.targets[r.random.IntN(len(e.placer.targets))]
 	b := e.placer.targets[r.random.IntN(len(e.placer.targets))]
 	if b.running < a.running {
@@ -402,23 +402,23 @@
 	return a
 }
 
-func (r *replay) send(e *instance, k kind, t *Ticket, d Decision, arrived time.Time) {
+func (r *simulation) send(e *instance, k kind, t *Ticket, d Decision, arrived time.Time) {
 	target := d.Target
 	w := r.targets[target.Name]
-	r.ran(e.region, target.Region)
-	way := time.Duration(0)
+	r.recordFlow(e.region, target.Region)
+	latency := time.Duration(0)
 	if target.Region != e.region {
-		way = farOneWay
+		latency = interRegionLatency
 	}
 	sent := r.now
 	finish := func(load messenger.Load, ran bool) {
-		r.after(way, func() {
+		r.after(latency, func() {
 			outcome := Outcome{Load: &load, Failed: !ran}
 			held := float64(max(0, load.Running+load.Waiting-1)) / float64(load.Slots)
-			r.gauges[e.region].See(r.now, []gauger.Reading{{Target: gauger.Key(target.Name), PerSlot: held}}, true)
+			r.regionLoads[e.region].See(r.now, []gauger.Reading{{Target: gauger.Key(target.Name), PerSlot: held}}, true)
 			if ran {
 				// The time that an entry instance sees holds the wait at the target.
-				outcome.ResponseTime = r.now.Sub(sent) - 2*way
+				outcome.ResponseTime = r.now.Sub(sent) - 2*latency
 			}
 			for _, placed := range e.placer.Done(r.now, target, outcome) {
 				placed.Ticket.Decided <- placed.Decision
@@ -426,39 +426,39 @@
 			r.count(k, arrived, ran)
 		})
 	}
-	r.after(way, func() { w.take(r, k, t.Key, finish) })
+	r.after(latency, func() { w.receive(r, k, t.Key, finish) })
 }
 
-func (r *replay) count(k kind, arrived time.Time, ran bool) {
-	took := r.now.Sub(arrived) + 2*callerWay
+func (r *simulation) count(k kind, arrived time.Time, ran bool) {
+	elapsed := r.now.Sub(arrived) + 2*callerLatency
 	switch {
-	case !ran || took > k.deadline:
-		r.score[k.name].refused++
-	case took > k.aim:
-		r.score[k.name].late++
+	case !ran || elapsed > k.deadline:
+		r.tallies[k.name].refused++
+	case elapsed > k.softDeadline:
+		r.tallies[k.name].late++
 	default:
-		r.score[k.name].onTime++
+		r.tallies[k.name].onTime++
 	}
 }
 
-func (w *worker) take(r *replay, k kind, key string, finish func(messenger.Load, bool)) {
+func (w *simulatedTarget) receive(r *simulation, k kind, key string, finish func(messenger.Load, bool)) {
 	if w.running >= w.spec.Slots {
-		if len(w.waiting) >= workerQueue {
+		if len(w.waiting) >= targetQueue {
 			finish(w.load(), false)
 			return
 		}
-		w.waiting = append(w.waiting, func() { w.work(r, k, key, finish) })
+		w.waiting = append(w.waiting, func() { w.execute(r, k, key, finish) })
 		return
 	}
-	w.work(r, k, key, finish)
+	w.execute(r, k, key, finish)
 }
 
-func (w *worker) work(r *replay, k kind, key string, finish func(messenger.Load, bool)) {
+func (w *simulatedTarget) execute(r *simulation, k kind, key string, finish func(messenger.Load, bool)) {
 	w.running++
 	span := time.Duration(float64(k.work) * (1 + 0.15*r.random.NormFloat64()))
-	warm := w.touch(key, r.world.keeps)
+	warm := w.touch(key, r.world.cacheSize)
 	if warm {
-		span = time.Duration(r.world.warm * float64(span))
+		span = time.Duration(r.world.warmFraction * float64(span))
 	}
 	r.after(max(time.Millisecond, span), func() {
 		load := w.load()
@@ -472,12 +472,12 @@
 	})
 }
 
-func (w *worker) load() messenger.Load {
+func (w *simulatedTarget) load() messenger.Load {
 	return messenger.Load{Running: w.running, Waiting: int32(len(w.waiting)), Slots: w.spec.Slots}
 }
 
 // touch reports whether the object was warm, and makes it the newest.
-func (w *worker) touch(key string, keeps int) bool {
+func (w *simulatedTarget) touch(key string, size int) bool {
 	for i, k := range w.warm {
 		if k == key {
 			w.warm = append(append(w.warm[:i:i], w.warm[i+1:]...), key)
@@ -485,10 +485,10 @@
 		}
 	}
 	w.warm = append(w.warm, key)
-	if len(w.warm) > keeps {
+	if len(w.warm) > size {
 		w.warm = w.warm[1:]
 	}
 	return false
 }
 
-func (t *tally) part(n int) float64 { return float64(n) / float64(max(1, t.asked)) }
+func (t *tally) fraction(n int) float64 { return float64(n) / float64(max(1, t.offered)) }
--- a/core/placer/split.go
+++ b/core/placer/split.go
@@ -224,13 +224,13 @@
 	return leastLoaded, mostLoaded
 }
 
-func (s *regionSplit) shift(from, to string, part float64) {
+func (s *regionSplit) shift(from, to string, amount float64) {
 	if from == "" {
 		return
 	}
-	part = min(part, s.shares[from])
-	s.shares[from] -= part
-	s.shares[to] += part
+	amount = min(amount, s.shares[from])
+	s.shares[from] -= amount
+	s.shares[to] += amount
 }
 
 // recordSend counts a request that goes to a region.
--- a/core/placer/split_test.go
+++ b/core/placer/split_test.go
@@ -22,7 +22,7 @@
 	return out
 }
 
-func assertShare(t *testing.T, p *Placer, region string, want float64) {
+func assertRegionShare(t *testing.T, p *Placer, region string, want float64) {
 	t.Helper()
 	is.New(t).True(math.Abs(p.regionSplit.shares[region]-want) < 0.01)
 }
@@ -30,7 +30,7 @@
 // Before the first callers come, targets announce themselves one after the other. An entry instance of a region with
 // few targets must not take its shares from the first ones it hears of: its region would count as roomy, and its first
 // callers would wait for seconds where there are no free slots while others idle.
-func TestSharesFollowTargetsUntilTheFirstRequest(t *testing.T) {
+func TestSharesFollowSlotsUntilFirstRequest(t *testing.T) {
 	all := unevenSpecs()
 	first := []Spec{}
 	for _, s := range all {
@@ -41,18 +41,18 @@
 	p := &Placer{Region: "few", Zone: "few", InterRegionRTT: 70 * time.Millisecond}
 	p.Update(start, first, 3)
 	p.Update(start.Add(time.Second), all, 3)
-	t.Run("before", func(t *testing.T) { assertShare(t, p, "few", 0.375) })
+	t.Run("before", func(t *testing.T) { assertRegionShare(t, p, "few", 0.375) })
 	t.Run("after the first request", func(t *testing.T) {
 		later := start.Add(time.Minute)
 		_, _ = p.Offer(later, &Ticket{SoftDeadline: later.Add(time.Second), Deadline: later.Add(3 * time.Second)})
 		p.Update(later, first, 3)
-		assertShare(t, p, "few", 0.375)
+		assertRegionShare(t, p, "few", 0.375)
 	})
 }
 
 // The home region was so full that all its requests moved away. Nothing is heard of its targets then, and what was heard
 // last must not keep the requests away when it has long been empty: each would go on to pay for the way to another region.
-func TestRequestsComeHomeAfterAllHadLeft(t *testing.T) {
+func TestRequestsReturnToHomeRegion(t *testing.T) {
 	is := is.New(t)
 	p := &Placer{Region: "few", Zone: "few"}
 	p.Update(start.Add(-time.Minute), unevenSpecs(), 3)
