--- a/core/placer/assigner_test.go
+++ b/core/placer/assigner_test.go
@@ -126,9 +126,9 @@
 func TestNextOwnerUsesHints(t *testing.T) {
 	is := is.New(t)
 	p := newOwner("many", threeRegionSpecs(), 1, 2)
-	ask := newAssignRequest("a")
-	ask.Hint = "most-3"
-	found := p.Assign(start, ask)
+	request := newAssignRequest("a")
+	request.Hint = "most-3"
+	found := p.Assign(start, request)
 	is.Equal(found.Target, "most-3")
 	is.True(found.WarmAt.IsZero())
 }
@@ -140,11 +140,11 @@
 	specs := threeRegionSpecs()
 	p := &Placer{Region: "many", Zone: "many"}
 	p.Update(start, specs[:3], 1)
-	ask := newAssignRequest("a")
-	ask.Hint = specs[9].Name
+	request := newAssignRequest("a")
+	request.Hint = specs[9].Name
 	now := start.Add(300 * time.Millisecond)
-	found := p.Assign(now, ask)
-	is.Equal(found.Target, ask.Hint)
+	found := p.Assign(now, request)
+	is.Equal(found.Target, request.Hint)
 	k := ticket(0)
 	k.Key, k.Host = "a", found.Target
 	_, decided := p.Offer(now, k)
@@ -152,12 +152,12 @@
 	p.Update(start.Add(600*time.Millisecond), specs, 1)
 	placed := p.Tick(start.Add(600 * time.Millisecond))
 	is.Equal(len(placed), 1)
-	is.Equal(placed[0].Decision.Target.Name, ask.Hint)
+	is.Equal(placed[0].Decision.Target.Name, request.Hint)
 	t.Run("but not for ever", func(t *testing.T) {
 		is := is.New(t)
-		ask := newAssignRequest("b")
-		ask.Hint = "gone"
-		found := p.Assign(start.Add(announcePeriod), ask)
+		request := newAssignRequest("b")
+		request.Hint = "gone"
+		found := p.Assign(start.Add(announcePeriod), request)
 		is.True(found.Target != "" && found.Target != "gone")
 	})
 }
@@ -271,7 +271,7 @@
 	k.Key, k.Host = "object", "a"
 	decision, decided := p.Offer(now, k)
 	is.True(decided && decision.Target != nil)
-	ask := newAssignRequest("object")
-	ask.Hint = "a"
-	is.Equal(p.Assign(now, ask).Target, "b")
+	request := newAssignRequest("object")
+	request.Hint = "a"
+	is.Equal(p.Assign(now, request).Target, "b")
 }
--- a/core/placer/balancer_test.go
+++ b/core/placer/balancer_test.go
@@ -17,9 +17,9 @@
 	for i := range instances {
 		p := newOwner("most", specs, i, instances)
 		for n := range objects {
-			ask := newAssignRequest(fmt.Sprint(i, "/", n))
-			ask.Hint = overloaded
-			p.Assign(start, ask)
+			request := newAssignRequest(fmt.Sprint(i, "/", n))
+			request.Hint = overloaded
+			p.Assign(start, request)
 		}
 		list = append(list, p)
 	}
@@ -91,9 +91,9 @@
 	is.True(!found)
 	p.RecordAssignment(start, object, "most-1", "view", 2)
 	p.RecordAssignment(start, object, "most-2", "view", 1) // late news
-	place, found := p.Lookup(start, object, nil)
+	assignment, found := p.Lookup(start, object, nil)
 	is.True(found)
-	is.Equal(place.Target, "most-1")
+	is.Equal(assignment.Target, "most-1")
 	_, found = p.Lookup(start, object, []string{"few"})
 	is.True(!found)
 	p.RecordAssignment(start, object, "gone", "view", 3)
@@ -145,13 +145,13 @@
 	is := is.New(t)
 	specs := threeRegionSpecs()
 	p := newOwner("most", specs, 0, 1)
-	ask := newAssignRequest("a")
-	ask.Hint, ask.Regions = "few-0", []string{"few"}
-	p.Assign(start, ask)
+	request := newAssignRequest("a")
+	request.Hint, request.Regions = "few-0", []string{"few"}
+	p.Assign(start, request)
 	p.RecordAssignment(start, ObjectHash("a"), "most-1", "view", 9)
-	p.assigner.objects[ObjectHash("a")].lastRequest = ask
+	p.assigner.objects[ObjectHash("a")].lastRequest = request
 	now := start.Add(10 * time.Second)
 	p.Update(now, append(specs, Spec{Name: "most-9", Incarnation: 1, Region: "most", Slots: 9, OwnSlots: 1}), 1)
 	is.Equal(len(p.Balance(now)), 0)
-	is.Equal(p.byName[p.Assign(now, ask).Target].Region, "few")
+	is.Equal(p.byName[p.Assign(now, request).Target].Region, "few")
 }
--- a/core/placer/scenarios_test.go
+++ b/core/placer/scenarios_test.go
@@ -119,11 +119,11 @@
 			is := is.New(t)
 			w := coldStartWorld()
 			w.assignHosts = true
-			agreed := newSimulation(seed, false, w)
-			agreed.run(30*time.Second, 0.55)
+			assigned := newSimulation(seed, false, w)
+			assigned.run(30*time.Second, 0.55)
 			naive := newSimulation(seed, true, w)
 			naive.run(30*time.Second, 0.55)
-			a, n := agreed.tallies["view"], naive.tallies["view"]
+			a, n := assigned.tallies["view"], naive.tallies["view"]
 			t.Logf("on time %.3f, naive %.3f", a.fraction(a.onTime), n.fraction(n.onTime))
 			is.True(a.fraction(a.onTime) > 0.8)
 			is.True(a.fraction(a.onTime) > 1.5*n.fraction(n.onTime))
--- a/core/placer/simulation_test.go
+++ b/core/placer/simulation_test.go
@@ -268,7 +268,7 @@
 		r.decided(k, decision, done)
 		return
 	}
-	r.await(e, k, t, done)
+	r.awaitDecision(e, k, t, done)
 }
 
 // ownerOf returns the entry instance of a region that answers for an object.
@@ -291,24 +291,24 @@
 // locate finds where a request should go, by asking the instance that answers for the object if need be.
 func (r *simulation) locate(e *instance, k kind, t *Ticket) {
 	object := ObjectHash(t.Key)
-	place, ok := e.placer.Lookup(r.now, object, nil)
+	assignment, ok := e.placer.Lookup(r.now, object, nil)
 	if !ok {
-		place = ownerOf(object, r.instancesIn(e.region)).placer.Assign(r.now, AssignRequest{Object: t.Key, Route: k.name, ColdTime: t.ColdTime})
+		assignment = ownerOf(object, r.instancesIn(e.region)).placer.Assign(r.now, AssignRequest{Object: t.Key, Route: k.name, ColdTime: t.ColdTime})
 	}
-	if place.Changed {
-		r.publishAssignment(e.region, object, place)
+	if assignment.Changed {
+		r.publishAssignment(e.region, object, assignment)
 	}
-	t.Host, t.WarmAt, t.FirstRun = place.Target, place.WarmAt, place.FirstRun
+	t.Host, t.WarmAt, t.FirstRun = assignment.Target, assignment.WarmAt, assignment.FirstRun
 }
 
 // publishAssignment tells all instances of a region about a place, as the controllers do.
-func (r *simulation) publishAssignment(region string, object uint64, place Assignment) {
+func (r *simulation) publishAssignment(region string, object uint64, assignment Assignment) {
 	if r.world.isolated {
 		return
 	}
 	r.after(publishDelay, func() {
 		for _, e := range r.instancesIn(region) {
-			e.placer.RecordAssignment(r.now, object, place.Target, place.Route, place.Version)
+			e.placer.RecordAssignment(r.now, object, assignment.Target, assignment.Route, assignment.Version)
 		}
 	})
 }
@@ -365,15 +365,15 @@
 	return r.loadSamples[int(part*float64(len(r.loadSamples)-1))]
 }
 
-// await looks after a waiting ticket as the tick of an entry instance does.
-func (r *simulation) await(e *instance, k kind, t *Ticket, done func(Decision)) {
+// awaitDecision looks after a waiting ticket as the tick of an entry instance does.
+func (r *simulation) awaitDecision(e *instance, k kind, t *Ticket, done func(Decision)) {
 	r.after(10*time.Millisecond, func() {
 		e.placer.deliver(r.now)
 		select {
 		case decision := <-t.Decided:
 			r.decided(k, decision, done)
 		default:
-			r.await(e, k, t, done)
+			r.awaitDecision(e, k, t, done)
 		}
 	})
 }
--- a/core/placer/withdrawn_test.go
+++ b/core/placer/withdrawn_test.go
@@ -11,7 +11,7 @@
 func TestUpdateReturnsWithdrawnTargetsInUse(t *testing.T) {
 	cases := map[string]struct {
 		change    func(specs []Spec) []Spec
-		withdrawn int
+		wantCount int
 	}{
 		"stays":         {func(specs []Spec) []Spec { return specs }, 0},
 		"left":          {func([]Spec) []Spec { return nil }, 1},
@@ -30,8 +30,8 @@
 			is.True(decided)
 			is.True(decision.Target != nil)
 			withdrawn := p.Update(start.Add(time.Millisecond), c.change(specs), 1)
-			is.Equal(len(withdrawn), c.withdrawn)
-			if c.withdrawn > 0 {
+			is.Equal(len(withdrawn), c.wantCount)
+			if c.wantCount > 0 {
 				is.Equal(withdrawn[0].Name, "a")
 			}
 			_ = p.Done(start.Add(2*time.Millisecond), decision.Target, Outcome{})
