--- a/core/placer/assigner.go
+++ b/core/placer/assigner.go
@@ -7,82 +7,87 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// announcePeriod is in which the targets that are there announce themselves to a system that has just started.
+// announcePeriod is the time within which existing targets announce themselves to a system that has just started.
 const announcePeriod = 2 * time.Second
 
-// AssignRequest is the question where a request should go, put to the instance that answers for its object.
+// AssignRequest asks for the target of an object. It is sent to the instance that owns the object.
 type AssignRequest struct {
 	Object string
-	// Route is what the object is of; objects of one route ask for about the same work.
+	// Route is the route that the object belongs to; objects of one route need about the same work.
 	Route string
-	// Hint is the target where the asker last saw the object, or empty.
+	// Hint is the target at which the requester last saw the object, or empty.
 	Hint string
-	// ColdTime is what a run of the object at a target that does not have it warm is expected to take.
+	// ColdTime is the expected service time of the object at a target that does not have it warm.
 	ColdTime time.Duration
-	// Regions that may serve the request; empty allows all.
+	// Regions are those that may serve the request; empty allows all.
 	Regions []string
 }
 
-// Assignment is the answer to an Ask.
+// Assignment is the answer to an AssignRequest.
 type Assignment struct {
 	// Target is empty if none may be used.
 	Target string
-	// Route is what the object is of, Version grows with each move of it.
+	// Route is the route that the object belongs to; Version grows with each move of the object.
 	Route   string
 	Version uint64
-	// WarmAt is when the object's first run there is expected to have ended, zero if it is warm or if the asker is to
-	// make that run.
+	// WarmAt is when the object's first run at the target is expected to end, zero if it is warm or if the requester is
+	// to make that run.
 	WarmAt time.Time
 	// Reason is a single word for logs: known, hint, new, joined, region, crowded or awaited.
 	Reason string
 	// FirstRun is set for the request that makes the object's first run at the target.
 	FirstRun bool
-	// Changed is set when the object's place changed, or was not known to this instance.
+	// Changed is set when the object's target changed, or was not known to this instance.
 	Changed bool
 }
 
-// assigner keeps the targets of objects: of those for which this instance answers, and, as others tell, of all that the
-// region's instances use. It answers the load in which most targets run objects cold: instances that each choose by what
-// they know of the targets' load disagree about an object, so it runs cold at several targets, one after the other and
-// beside each other, until the slots are full of such runs. One instance that answers for an object starts it cold once;
-// it knows what all have given to a target, so that targets come out even; and the others need not ask again.
+// assigner keeps the targets of objects: of those that this instance owns, and, as received from others, of all that
+// the region's instances use. It is made for a load at which most targets run objects cold: if each instance chose by
+// its own view of the targets' load, instances would disagree about an object, and it would run cold at several
+// targets, one after the other and at the same time, until the slots are full of such runs. With one owner an object
+// runs cold once; the owner has the counts of the objects of all instances at each target, so that targets get even
+// numbers; and other instances need not ask again.
 type assigner struct {
 	objects map[uint64]*assignedObject
-	// objectCounts are how many objects of each route a target has, by its name, and all of them under the empty route.
+	// objectCounts holds how many objects of each route a target has, by its name, with all objects under the empty
+	// route.
 	objectCounts map[string]map[string]int
-	// owns tells which objects this instance answers for, own are those of them that are known.
+	// owns reports whether this instance owns an object; owned are the known ones of those.
 	owns  func(object uint64) bool
 	owned map[uint64]*assignedObject
-	// regionShares are the regionShares of the objects that go to each region, by its slots.
+	// regionShares are the parts of the objects that go to each region, by its slots.
 	regionShares map[string]float64
-	// offset is where this instance begins among equal targets. All instances would else fill the same ones first.
+	// offset, from 0 to 1, is where this instance starts among equal targets. Otherwise all instances would fill the
+	// same ones first.
 	offset float64
-	// ownerCount is how many instances ownerCount the region answer for objects.
+	// ownerCount is how many instances of the region own objects.
 	ownerCount int
 	// newestReadyAt is when the last target became ready for objects.
 	newestReadyAt time.Time
-	// nextJoinMoveAt is when the next object may follow a joined target, crossAt when the next one may go to another region.
+	// nextJoinMoveAt is when the next object may move to a joined target, nextRegionMoveAt when the next one may move
+	// to another region.
 	nextJoinMoveAt   time.Time
 	nextRegionMoveAt time.Time
 	balancer
 }
 
-// assignedObject is one object's place.
+// assignedObject is the assignment of one object.
 type assignedObject struct {
 	target string
 	route  string
-	// version grows with each move; of two places told of, the higher one holds.
+	// version grows with each move; of two assignments that are received, the one with the higher version holds.
 	version  uint64
 	placedAt time.Time
 	warmAt   time.Time
-	// lastRequest is the last question for the object, with an empty name if there was none.
+	// lastRequest is the last request for the object; its Object is empty if there was none.
 	lastRequest AssignRequest
 }
 
-// ObjectHash is what an object is called where its name would be too long.
+// ObjectHash identifies an object where its name would be too long.
 func ObjectHash(name string) uint64 { return xxhash.Sum64String(name) }
 
-// SetOwnership tells which objects this instance answers for, as one of so many, the position-th of them.
+// SetOwnership sets which objects this instance owns, and its position among the total number of instances that own
+// objects.
 func (p *Placer) SetOwnership(owns func(object uint64) bool, position, total int) {
 	a := &p.assigner
 	a.owns = owns
@@ -95,7 +100,7 @@
 	}
 }
 
-// Assign says where a request for an object goes for which this instance answers.
+// Assign returns the target of a request for an object that this instance owns, and assigns one if there is none.
 func (p *Placer) Assign(now time.Time, request AssignRequest) Assignment {
 	a := &p.assigner
 	object := ObjectHash(request.Object)
@@ -107,7 +112,7 @@
 	return assigned.assignment(now)
 }
 
-// assignment is the answer to a request for an object that has its assignment.
+// assignment answers a request for an object that has a target.
 func (o *assignedObject) assignment(now time.Time) Assignment {
 	assignment := Assignment{Target: o.target, Reason: "known"}
 	if now.Before(o.warmAt) {
@@ -116,7 +121,8 @@
 	return assignment
 }
 
-// Lookup is an object's place as this instance was told or decided itself, false if it has to be asked for.
+// Lookup returns the assignment of an object as received or decided by this instance, false if its owner has to be
+// asked.
 func (p *Placer) Lookup(now time.Time, object uint64, regions []string) (Assignment, bool) {
 	assigned, ok := p.assigner.objects[object]
 	if !ok || !p.Eligible(now, assigned.target, regions) {
@@ -125,8 +131,9 @@
 	return assigned.assignment(now), true
 }
 
-// Supersedes reports whether a place of an object holds instead of another one that was told of. All who hear of both, in
-// whatever order, have to hold the same one, or they would send the object's requests to two targets for good.
+// Supersedes reports whether one assignment of an object takes precedence over another. All instances that receive
+// both, in whatever order, have to keep the same one, or they would send the object's requests to two targets
+// permanently.
 func Supersedes(version uint64, target string, oldVersion uint64, oldTarget string) bool {
 	if version != oldVersion {
 		return version > oldVersion
@@ -134,7 +141,8 @@
 	return target < oldTarget
 }
 
-// RecordAssignment takes what another instance decided, or what this one did in an earlier run.
+// RecordAssignment takes an assignment that another instance made, or this one in an earlier run. It is ignored unless
+// it supersedes the known one.
 func (p *Placer) RecordAssignment(now time.Time, object uint64, target, route string, version uint64) {
 	a := &p.assigner
 	if old, ok := a.objects[object]; ok && !Supersedes(version, target, old.version, old.target) {
@@ -143,7 +151,7 @@
 	a.store(object, &assignedObject{target: target, route: route, version: version, placedAt: now})
 }
 
-// assign gives an object a target: the one where the asker saw it, else the one that has most room.
+// assign assigns an object to a target: the one in the hint if it can be used, otherwise the least loaded one.
 func (p *Placer) assign(now time.Time, object uint64, request AssignRequest) Assignment {
 	a := &p.assigner
 	if old, ok := a.objects[object]; ok && request.Hint == "" {
@@ -165,12 +173,13 @@
 	return p.assignCold(now, object, request, target, "new")
 }
 
-// assignCold puts an object at a target that does not have it warm.
+// assignCold assigns an object to a target that does not have it warm.
 func (p *Placer) assignCold(now time.Time, object uint64, request AssignRequest, target *Target, reason string) Assignment {
 	target.addPending(now, p.assigner.slotsPerObject)
 	return p.assigner.placeAt(now, object, request, target.Name, reason)
 }
 
+// placeAt stores a new version of an object's assignment.
 func (a *assigner) placeAt(now time.Time, object uint64, request AssignRequest, target, reason string) Assignment {
 	next := &assignedObject{target: target, route: request.Route, version: 1, placedAt: now, warmAt: now.Add(request.ColdTime), lastRequest: request}
 	if old, ok := a.objects[object]; ok {
@@ -182,6 +191,7 @@
 	}
 }
 
+// store replaces an object's assignment. When there are too many objects, it drops all the others.
 func (a *assigner) store(object uint64, next *assignedObject) {
 	a.remove(object)
 	if a.objects == nil || len(a.objects) >= maxObjects {
@@ -198,7 +208,7 @@
 	a.objectCounts[next.target][allRoutes]++
 }
 
-// allRoutes stands for the objects of all routes together.
+// allRoutes is the key for the objects of all routes together.
 const allRoutes = ""
 
 func (a *assigner) remove(object uint64) {
@@ -215,7 +225,7 @@
 	delete(a.owned, object)
 }
 
-// eligible reports whether a target may go on being an object's.
+// eligible reports whether a target may continue to be the host of an object.
 func (p *Placer) eligible(now time.Time, target *Target, regions []string) bool {
 	return p.byName[target.Name] == target && !target.down(now) && inRegions(target.Region, regions)
 }
--- a/core/placer/balancer.go
+++ b/core/placer/balancer.go
@@ -9,46 +9,49 @@
 )
 
 const (
-	// balanceInterval is how often an instance looks at the objects for which it answers.
+	// balanceInterval is how often an instance checks the objects that it owns.
 	balanceInterval = 200 * time.Millisecond
-	// joinRate is the part of its objects that an instance lets follow joined targets in a second. Each runs cold once, so
-	// more at a time would fill the slots with such runs.
+	// joinRate is the part of its objects that an instance moves to joined targets in a second. Each runs cold once, so
+	// a higher rate would fill the slots with such runs.
 	joinRate = 0.1
-	// regionMoveRate is the part of its objects that an instance moves between regions in a second. Two seconds of it and all
-	// of awayPart leave the links between regions what they are planned for.
+	// regionMoveRate is the part of its objects that an instance moves between regions in a second. Two seconds of it
+	// together with all of crossRegionFraction stay within what the links between regions are planned for.
 	regionMoveRate = 0.02
-	// shedAbove is the load, in requests per slot, from which on a target sheds objects, and relieved the load at which it
-	// has shed enough.
+	// shedAbove is the load, in requests per slot, at which a target starts to shed objects, and shedDownTo the load at
+	// which it has shed enough.
 	shedAbove  = 1.3
 	shedDownTo = 1.0
-	// shedPeriod is in what time a target sheds what it has too much of. Loads are told within a second or two, and a target
-	// that sheds faster has lost too much before that shows.
+	// shedPeriod is the time in which a target sheds its excess load. Loads arrive with a delay of one or two seconds,
+	// and a target that sheds faster has lost too much before that shows.
 	shedPeriod = 3 * time.Second
-	// minStay is how long an object stays at least where it was put.
+	// minStay is the least time that an object stays at the target it was assigned to before that target may shed it.
 	minStay = 3 * time.Second
-	// shedLoadRatio is how much less load the target must have that takes a shed object.
+	// shedLoadRatio is the highest load, relative to that of the shedding target, at which another target takes a shed
+	// object.
 	shedLoadRatio = 0.6
-	// minSlotsPerObject is taken for the slots that an object needs before loads are known.
+	// minSlotsPerObject is the least number of slots that an object is taken to need, and the one assumed before loads
+	// are known.
 	minSlotsPerObject = 0.1
 )
 
-// balancer moves objects in calm time. It answers the load that stays uneven for the rest of a day once chance, or a target
-// that was lost for a while, has put too many objects at some targets: requests wait and are refused there while other
-// targets idle, and nothing else would ever move them.
+// balancer moves objects during normal operation. It guards against a load that stays uneven for the rest of a day
+// after random variation, or a target that was lost for a while, has put too many objects at some targets: requests
+// wait and are refused there while other targets idle, and nothing else would move the objects.
 type balancer struct {
 	nextBalanceAt time.Time
 	rounds        uint64
-	// slotsPerObject is how many slots an average object takes.
+	// slotsPerObject is how many slots an average object needs.
 	slotsPerObject float64
 }
 
-// Move is an object's new place.
+// Move is an object's new assignment.
 type Move struct {
 	Object uint64
 	Assignment
 }
 
-// Balance returns the objects that this instance moves now, of those for which it answers.
+// Balance returns the objects that this instance moves now, of those that it owns. It returns nothing if called again
+// within balanceInterval.
 func (p *Placer) Balance(now time.Time) []Move {
 	a := &p.assigner
 	if now.Before(a.nextBalanceAt) || len(a.owned) == 0 {
@@ -66,21 +69,21 @@
 		}
 		if target, reason := p.betterTarget(now, object, assigned, from); target != nil {
 			out = append(out, Move{object, p.assignCold(now, object, assigned.placementRequest(), target, reason)})
-			// Nobody is sent to run it there first, so nobody is to wait for that run.
+			// No request is sent there to make the first run, so none is to wait for that run.
 			a.objects[object].warmAt = now
 		}
 	}
 	return out
 }
 
-// placementRequest is the last placementRequest for an object, or what is known of it without one.
+// placementRequest is the last request for an object, or one with only its route if there was none.
 func (o *assignedObject) placementRequest() AssignRequest {
 	request := o.lastRequest
 	request.Route = o.route
 	return request
 }
 
-// rotatedOwned lists the objects for which this instance answers, in an order that differs from round to round.
+// rotatedOwned lists the objects that this instance owns, in an order that differs from round to round.
 func (a *assigner) rotatedOwned() []uint64 {
 	out := slices.Sorted(maps.Keys(a.owned))
 	if n := len(out); n > 0 {
@@ -90,7 +93,8 @@
 	return out
 }
 
-// measureSlotsPerObject takes how many slots an average object needs, from the load of the region's targets and their objects.
+// measureSlotsPerObject computes how many slots an average object needs, from the load of the region's targets and the
+// number of their objects.
 func (p *Placer) measureSlotsPerObject(now time.Time) {
 	held, objects := 0.0, 0
 	for _, target := range p.hosts.byRegion[p.Region] {
@@ -102,7 +106,7 @@
 	p.assigner.slotsPerObject = max(minSlotsPerObject, held/max(1, float64(objects)))
 }
 
-// betterTarget returns the target that an object is to move to now and why, or nil.
+// betterTarget returns the target that an object is to move to now and the reason, or nil.
 func (p *Placer) betterTarget(now time.Time, object uint64, assigned *assignedObject, from *Target) (*Target, string) {
 	if target := p.shedTarget(now, object, assigned, from); target != nil {
 		return target, "crowded"
@@ -117,8 +121,9 @@
 	return p.otherRegionTarget(now, object, assigned, from), "region"
 }
 
-// takeMove reports whether one more of the instance's objects may move now, at a rate; next is from when on. After a pause
-// instances begin one after the other: if each moved one object at once, that could be a third of all objects.
+// takeMove reports whether one more of the instance's objects may move now at a rate, and if so moves next, the time of
+// the next move, on. After a pause instances start one after the other: if each moved one object at once, that could be
+// a third of all objects.
 func (a *assigner) takeMove(now time.Time, next *time.Time, rate float64) bool {
 	interval := time.Duration(float64(time.Second) / (rate * float64(max(1, len(a.owned)))))
 	if now.Sub(*next) > interval {
@@ -131,8 +136,9 @@
 	return true
 }
 
-// shedTarget returns a target with much less load for an object of an overfull one, if the object is of those that go. All who
-// answer for objects there decide by chance, each for as many as together take off what is too much.
+// shedTarget returns a target with much less load for an object that an overloaded target sheds, or nil if the object
+// stays. All owners of objects there decide at random, each with a probability at which together they take off the
+// excess load.
 func (p *Placer) shedTarget(now time.Time, object uint64, assigned *assignedObject, from *Target) *Target {
 	a := &p.assigner
 	load, ok := from.recentLoad(now)
@@ -150,13 +156,13 @@
 	return target
 }
 
-// random is a number from 0 to 1 that differs from object to object and from round to round.
+// random is a pseudo-random number from 0 to 1 that differs from object to object and from round to round.
 func (a *assigner) random(object uint64) float64 {
 	return float64(hashWeight(strconv.FormatUint(object, 16), strconv.FormatUint(a.rounds, 16))) / math.MaxUint64
 }
 
-// joinedTarget returns a target that became ready after the object was placed, if the object is of those that fall to it. A new
-// target would else stay empty, for all objects have their place.
+// joinedTarget returns a target that became ready after the object was assigned, if the object is one of those that
+// belong there by hash. Otherwise a new target would stay empty, because all objects have their targets.
 func (p *Placer) joinedTarget(now time.Time, object uint64, assigned *assignedObject, from *Target) *Target {
 	near := slices.DeleteFunc(slices.Clone(p.hosts.byRegion[from.Region]), func(t *Target) bool {
 		return !p.eligible(now, t, assigned.lastRequest.Regions)
@@ -167,8 +173,9 @@
 	return nil
 }
 
-// otherRegionTarget returns a target in a region that has fewer objects for its part than the object's. A region that had lost all
-// its targets would else stay empty when they are back, for its objects have found places elsewhere.
+// otherRegionTarget returns a target in a region that has fewer objects for its share than the object's region.
+// Otherwise a region that had lost all its targets would stay empty after they return, because its objects were
+// assigned elsewhere.
 func (p *Placer) otherRegionTarget(now time.Time, object uint64, assigned *assignedObject, from *Target) *Target {
 	if assigned.lastRequest.Object == "" {
 		return nil
--- a/core/placer/candidates.go
+++ b/core/placer/candidates.go
@@ -8,19 +8,21 @@
 )
 
 const (
-	// objectOffset an object on top makes the parts of the regions come out even where there are few objects.
+	// objectOffset is half an object added to each count, so that the shares of the regions come out even where there
+	// are few objects.
 	objectOffset = 0.5
-	// loadStep is how finely targets are told apart by their load, in requests per slot. Told apart further, all
-	// instances would give their objects to the same emptiest target at once.
+	// loadStep is the precision to which targets' loads are compared, in requests per slot. With a higher one, all
+	// instances would assign their objects to the same least loaded target at once.
 	loadStep = 0.25
-	// slowdownStep is the same for how slow a target is.
+	// slowdownStep is the same for the slowdown of a target.
 	slowdownStep = 0.5
-	// instancesPerTarget is how many instances consider a target at a time, minCandidates how many targets one considers.
+	// instancesPerTarget is about how many instances consider a target at a time, minCandidates the least number of
+	// targets that one instance considers.
 	instancesPerTarget = 4
 	minCandidates      = 6
 )
 
-// chooseRegion chooses the chooseRegion that has the fewest objects of a route for its part.
+// chooseRegion returns the region that has the fewest objects of a route for its share.
 func (p *Placer) chooseRegion(now time.Time, request AssignRequest) string {
 	best, least := "", math.Inf(1)
 	for _, r := range slices.Sorted(maps.Keys(p.assigner.regionShares)) {
@@ -31,8 +33,8 @@
 	return best
 }
 
-// ownedObjectsIn counts the objects of a route in a region for which this instance answers. Each instance evens out its own:
-// by those of all, hundreds of objects that want a place at once would all go to the region that is behind.
+// ownedObjectsIn counts the objects of a route in a region that this instance owns. Each instance balances its own
+// objects: by the counts of all objects, hundreds that need a target at once would all go to the region that is behind.
 func (p *Placer) ownedObjectsIn(region, route string) int {
 	n := 0
 	for _, assigned := range p.assigner.owned {
@@ -43,8 +45,8 @@
 	return n
 }
 
-// leastLoadedTarget returns the target with most room for an object, of those of a region that this instance considers: with the
-// least load, and of those the one with the fewest objects of its route for its slots.
+// leastLoadedTarget returns the target for an object, of those of a region that this instance considers: the one with
+// the least load, and of several such the one with the fewest objects of its route per slot.
 func (p *Placer) leastLoadedTarget(region string, now time.Time, object uint64, request AssignRequest) *Target {
 	var best *Target
 	leastLoad, leastObjects := math.Inf(1), math.Inf(1)
@@ -61,9 +63,10 @@
 	return best
 }
 
-// candidates are some targets of a region from a place of this instance's own on, and as many from one of the object's.
-// Of all targets, all instances would choose the same emptiest ones in the half second that news takes, as when a zone is
-// lost and hundreds of objects want a place; few instances consider the same few.
+// candidates returns some targets of a region beginning at this instance's own position, and as many beginning at the
+// object's; where there are few targets, all of them. If all targets were compared, all instances would choose the same
+// least loaded ones within the half second that updates take to arrive, as when an availability zone is lost and
+// hundreds of objects need a target; this way few instances consider the same targets.
 func (p *Placer) candidates(region string, object uint64) []*Target {
 	near := p.hosts.byRegion[region]
 	a := &p.assigner
@@ -83,7 +86,7 @@
 	return out
 }
 
-// fillRatio is how many objects of a route a region has for its part, with some more.
+// fillRatio is how many objects of a route a region has, and extra ones, relative to its share.
 func (p *Placer) fillRatio(region, route string, extra float64) float64 {
 	return (float64(p.ownedObjectsIn(region, route)) + extra + objectOffset) / max(minShare, p.assigner.regionShares[region])
 }
--- a/core/placer/chance.go
+++ b/core/placer/chance.go
@@ -1,10 +1,11 @@
 package placer
 
-// warmProbabilities are the chances that an object without a known host is warm at its hosts by hash, the first one first: nearly all
-// requests for it go there.
+// warmProbabilities are the probabilities that an object without a known host is warm at its hosts by hash, the first
+// one first: nearly all requests for it go there.
 var warmProbabilities = [...]float64{0.9, 0.4, 0.2}
 
-// warmProbability is how likely a host of a rank has an object warm; rank -1 is none of its hosts.
+// warmProbability is the probability that the host of a rank has an object warm; rank -1 is a target that is none of
+// its hosts.
 func warmProbability(rank int) float64 {
 	if rank < 0 {
 		return 0
--- a/core/placer/choice.go
+++ b/core/placer/choice.go
@@ -8,18 +8,20 @@
 )
 
 const (
-	// warmQueue is how many requests may wait at a target that has the object warm. It works three times as fast as
+	// warmQueue is how many requests may queue at a target that has the object warm. It works three times as fast as
 	// any other, so a short wait there beats a free slot elsewhere.
 	warmQueue = 1.5
-	// lessUrgentQueue is the same for the less urgent kinds of the service, which leave the most urgent one a place in that
-	// queue.
+	// lessUrgentQueue is the same for requests with a less urgent priority than the service's most urgent one, which
+	// keeps a place in that queue.
 	lessUrgentQueue = 1
-	// lateQueue is the same for requests that can't be on time any more: those that can find a shorter queue.
+	// lateQueue is the same for requests that can't be on time any more; it is low so that those that can find a
+	// shorter queue.
 	lateQueue = 0.5
-	// scarceUtilisation: from this part of taken slots on, requests wait for the hosts of their objects and start nowhere else,
-	// where they would take the time of three others and push other objects out.
+	// scarceUtilisation is the part of taken slots above which requests wait for the hosts of their objects and start
+	// nowhere else, where they would take the time of three others and evict other objects.
 	scarceUtilisation = 0.3
-	// crossZoneCost prefers the own availability zone among equals: bytes between zones cost, time hardly differs.
+	// crossZoneCost prefers the own availability zone among otherwise equal targets: traffic between zones costs money,
+	// and the time hardly differs.
 	crossZoneCost = time.Millisecond
 	// fullTargetCost is what a full target costs over an empty one, where both have room.
 	fullTargetCost = 10 * time.Millisecond
@@ -44,8 +46,8 @@
 	return now.Before(p.firstTargetAt.Add(announcePeriod))
 }
 
-// awaited reports whether the host of an object has yet to announce itself. Elsewhere, the object would run cold and push
-// out others whose targets are there already. A target that was there and left is not waited for.
+// awaited reports whether the host of an object has yet to announce itself. Elsewhere the object would run cold and
+// evict others whose targets have announced themselves already. A target that was there and left is not awaited.
 func (p *Placer) awaited(now time.Time, host string) bool {
 	return host != "" && p.starting(now) && !p.announced[host]
 }
@@ -59,8 +61,9 @@
 	return host
 }
 
-// hostWithRoom returns the host of a request's object if it has room. A request that comes while the object runs there for
-// the first time waits: it would run cold beside that run, for three times the slots' time, and end no sooner.
+// hostWithRoom returns the host of a request's object, or nil if it has no room. A request that arrives during the
+// object's first run there waits where slots are scarce or a cold run would be late: it would run cold beside that run,
+// take the slot time of three others, and end no sooner.
 func (p *Placer) hostWithRoom(now time.Time, t *Ticket, host *Target) *Target {
 	if now.Before(t.WarmAt) && (p.snapshot.slotsScarce || now.Add(t.ColdTime).After(t.SoftDeadline)) {
 		return nil
@@ -78,8 +81,8 @@
 	return host
 }
 
-// choose returns the target of the request's object. Where none is known, it is the one where the request is expected to
-// be done first, of those in regions that may get one more.
+// choose returns the host of the request's object, or a target for its overflow. Where no host is known, it is the
+// target where the request is expected to finish first, of those in regions that may get one more request.
 func (p *Placer) choose(now time.Time, t *Ticket) *Target {
 	if host := p.host(now, t); host != nil {
 		if target := p.hostWithRoom(now, t, host); target != nil {
@@ -109,6 +112,7 @@
 	return best
 }
 
+// allowed reports whether a target has not been tried for a request and is in one of its regions.
 func (p *Placer) allowed(target *Target, t *Ticket) bool {
 	if slices.Contains(t.Tried, target.Name) {
 		return false
@@ -116,10 +120,10 @@
 	return inRegions(target.Region, t.Regions)
 }
 
-// outstanding estimates how many requests a target holds: this instance's for certain, and those of others. What others had
-// there when it last answered says less the older it is; beyond that the target is taken for an average one. What all
-// instances are told of it is no help here: all would stay away from a target for as long as the news is old, and then all
-// come at once.
+// outstanding estimates how many requests a target holds: this instance's own, which are known exactly, and those of
+// other instances. What the target last reported of others loses weight with its age; the rest of the weight goes to
+// the average target. The shared load is not used here: all instances would stay away from a target for as long as that
+// is out of date, and then all come at once.
 func (p *Placer) outstanding(now time.Time, t *Target) float64 {
 	weight := gauger.Fade(now.Sub(t.othersAt), p.otherLoad.decay)
 	return float64(t.running) + t.others*weight + p.snapshot.othersPerSlot*float64(t.Slots)*(1-weight)
@@ -135,13 +139,13 @@
 	return held / max(1, slots)
 }
 
-// anyUsable reports whether a request may go to some of the targets at all now.
+// anyUsable reports whether a request may go to any of the targets now.
 func (p *Placer) anyUsable(now time.Time, t *Ticket, list []*Target) bool {
 	return slices.ContainsFunc(list, func(target *Target) bool { return p.allowed(target, t) && target.usable(now) })
 }
 
-// cost estimates the time to the answer; false means that the target has no room for one more. Chance is how likely the
-// target has the object warm.
+// cost estimates the time to the answer; false means that the target has no room for one more request. The probability
+// is that of the target having the object warm.
 func (p *Placer) cost(now time.Time, target *Target, t *Ticket, probability float64) (time.Duration, bool) {
 	serviceTime := time.Duration(probability*float64(t.WarmTime) + (1-probability)*float64(t.ColdTime))
 	queue := warmQueue * probability
@@ -164,6 +168,6 @@
 	if target.Zone != p.Zone {
 		cost += crossZoneCost
 	}
-	// Of equals, the emptier one: sends to it collide least with other entry instances'.
+	// Of equal targets, prefer the emptier one: requests sent to it collide least with those of other entry instances.
 	return cost + time.Duration(held/max(1, slots)*float64(fullTargetCost)), true
 }
--- a/core/placer/hosts.go
+++ b/core/placer/hosts.go
@@ -10,19 +10,20 @@
 )
 
 const (
-	// maxObjects bounds the remembered objects.
+	// maxObjects bounds the number of remembered objects.
 	maxObjects = 16384
-	// shareStep is how far a region's part moves before objects follow: fewer than one in fifty are then placed
+	// shareStep is how far a region's share moves before objects follow: fewer than one in fifty are then placed
 	// differently by two instances.
 	shareStep = 0.02
-	// minShare stands for no part at all.
+	// minShare replaces a share of zero.
 	minShare = 1e-6
 )
 
-// hosts chooses by hash, for each object without a known host, the target of each region that is to keep it warm, and in
-// which order they are to be used. Every entry instance of a region computes nearly the same ones from the same targets and shares, so an object is
-// warm at its first host whichever instance its last request came by. An object with a place in each region alike would
-// start cold in all of them, which a region with few callers takes half a minute for.
+// hosts selects by hash, for each object without a known host, the target of each region that is to keep it warm, and
+// the order in which to use them. Every entry instance of a region computes nearly the same hosts from the same targets
+// and shares, so an object is warm at its first host whichever instance handled its last request. If an object had
+// hosts of equal rank in all regions, it would start cold in each of them, which takes a region with few callers half a
+// minute to get through.
 type hosts struct {
 	byRegion map[string][]*Target
 	cached   map[string][]*Target
@@ -30,6 +31,7 @@
 	shares map[string]float64
 }
 
+// reset applies a changed list of targets.
 func (h *hosts) reset(targets []*Target) {
 	h.byRegion = map[string][]*Target{}
 	for _, t := range targets {
@@ -38,7 +40,8 @@
 	h.cached = map[string][]*Target{}
 }
 
-// setShares takes the parts of the objects that each region is to host first.
+// setShares sets the parts of the objects that each region is to host first, if one of them moved by more than
+// shareStep.
 func (h *hosts) setShares(shares map[string]float64) {
 	for region, share := range shares {
 		if math.Abs(share-h.shares[region]) > shareStep {
@@ -49,7 +52,7 @@
 	}
 }
 
-// forObject returns the hosts forObject an object, the first one first.
+// forObject returns the hosts of an object, the first one first.
 func (h *hosts) forObject(key string) []*Target {
 	if key == "" {
 		return nil
@@ -68,8 +71,8 @@
 	return out
 }
 
-// regionOrder returns the regions for an object. Each comes first for its part of the objects, and few objects change their
-// region when the parts change.
+// regionOrder returns the regions for an object. Each comes first for its share of the objects, and few objects change
+// their region when the shares change.
 func (h *hosts) regionOrder(key string) []string {
 	scores := map[string]float64{}
 	for region := range h.byRegion {
@@ -81,6 +84,7 @@
 	})
 }
 
+// highestWeight returns the target with the greatest rendezvous weight for a key. The list must not be empty.
 func highestWeight(key string, list []*Target) *Target {
 	best, most := list[0], hashWeight(key, list[0].Name)
 	for _, t := range list[1:] {
@@ -91,6 +95,7 @@
 	return best
 }
 
+// hashWeight is the rendezvous weight of a name for a key.
 func hashWeight(key, name string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
--- a/core/placer/others.go
+++ b/core/placer/others.go
@@ -6,18 +6,18 @@
 	"chervilrail.example/core/gauger"
 )
 
-// reportDivisor is the weight of the newest report in the average: a twentieth, the answers of a second or two.
+// reportDivisor sets the weight of the newest report in the average: one twentieth, the answers of one or two seconds.
 const reportDivisor = 20
 
-// otherLoad is what other entry instances have at an average target. It answers the service with many entry instances and
-// many targets, where each instance hears of a target only every few seconds: taken for empty in between, all targets
-// get several times their slots, their queues run full, and requests are late or shed that would have been on time
-// elsewhere or a little later.
+// otherLoad is the load by other entry instances' requests at an average target. It is made for a service with many
+// entry instances and many targets, where each instance receives a report of a target only every few seconds. If
+// targets counted as empty in between, all of them would get several times their slots, their queues would fill up, and
+// requests would be late or shed that would have been on time elsewhere or a little later.
 type otherLoad struct {
 	// perSlot is the smoothed number of other instances' requests per slot, as of at.
 	perSlot float64
 	at      time.Time
-	// decay is how long a report holds.
+	// decay is the time in which a report loses almost two thirds of its weight.
 	decay time.Duration
 }
 
@@ -27,8 +27,8 @@
 	c.at = now
 }
 
-// expected is the number of others' requests per slot now. Without reports it fades: a crowd that keeps all requests
-// away would never be seen to have gone.
+// expected is the number of others' requests per slot now. It decays without reports: a load that keeps all requests
+// away would otherwise never be seen to end.
 func (c *otherLoad) expected(now time.Time) float64 {
 	return c.perSlot * gauger.Fade(now.Sub(c.at), c.decay)
 }
--- a/core/placer/overflow.go
+++ b/core/placer/overflow.go
@@ -9,24 +9,25 @@
 const (
 	// overflowWarmPeriod is how long a target that took an object's overflow is expected to keep the object warm.
 	overflowWarmPeriod = 10 * time.Second
-	// crossRegionFraction is the part of an instance's requests that may overflow into other regions, and awaySpan the time over
-	// which it is counted. All of it can come and go at once with a peak, and links between regions are planned for moves
-	// of 15% in two seconds.
+	// crossRegionFraction is the part of an instance's requests that may overflow into other regions, and
+	// crossRegionWindow the time over which it is counted. All of it can start and end at once with a peak, and links
+	// between regions are planned for moves of 15% in two seconds.
 	crossRegionFraction = 0.1
 	crossRegionWindow   = 2 * time.Second
-	// minFreeForColdRun is the part of a target's slots that has to be free for an object's first overflow. That run is cold and
-	// takes as long as three others.
+	// minFreeForColdRun is the part of a target's slots that has to be free for an object's first overflow. That run is
+	// cold and takes as long as three others.
 	minFreeForColdRun = 0.25
 )
 
-// overflow takes requests whose host has no room for them. It answers the peak at which some targets are full while others
-// have free slots, for objects have one host each and their load is uneven: requests would wait at the full ones until they
-// are late or refused, beside idle slots. A run elsewhere is cold at first and then warm, so the object has a second place
-// while its host is short of room, and only then.
+// overflow takes requests whose host has no room for them. It is made for peaks at which some targets are full while
+// others have free slots, because each object has one host and their load is uneven: requests would wait at the full
+// targets until they are late or refused, beside idle slots. A run elsewhere is cold at first and warm from then on, so
+// an object gets a second target only while its host is short of room.
 type overflow struct {
 	// recent holds, by object, where its overflow last went.
 	recent map[string]overflowTarget
-	// total and away count the requests placed lately, and those of them that overflowed into other regions, as of at.
+	// total and crossRegion count the requests placed recently, and those of them that overflowed into other regions,
+	// as of at.
 	total       float64
 	crossRegion float64
 	at          time.Time
@@ -38,13 +39,13 @@
 	warmUntil time.Time
 }
 
-// warm reports whether a target took the object's overflow lately.
+// warm reports whether a target took the object's overflow recently.
 func (o *overflow) warm(now time.Time, object, target string) bool {
 	last := o.recent[object]
 	return last.target == target && now.Before(last.warmUntil)
 }
 
-// record remembers a target that runs an object's overflow.
+// record stores the target that runs an object's overflow.
 func (o *overflow) record(now time.Time, object, target string) {
 	if o.recent == nil || len(o.recent) >= maxObjects {
 		o.recent = map[string]overflowTarget{}
@@ -52,7 +53,7 @@
 	o.recent[object] = overflowTarget{target, now.Add(overflowWarmPeriod)}
 }
 
-// count counts a request; away tells that it overflowed into another region.
+// count counts a placed request; crossRegion is set if it overflowed into another region.
 func (o *overflow) count(now time.Time, crossRegion bool) {
 	kept := gauger.Fade(now.Sub(o.at), crossRegionWindow)
 	o.total, o.crossRegion, o.at = o.total*kept+1, o.crossRegion*kept, now
@@ -67,8 +68,8 @@
 	return o.crossRegion*kept+1 <= max(1, crossRegionFraction*(o.total*kept+1))
 }
 
-// chooseOverflow returns a target that takes a request whose host is full: one that has the object warm, or, if the request
-// would be late at its host, the object's next one by hash.
+// chooseOverflow returns a target for a request whose host is full: one that took the object's overflow recently and
+// has it warm, or, if the request would be late at its host, another of the object's hosts by hash.
 func (p *Placer) chooseOverflow(now time.Time, t *Ticket, host *Target) *Target {
 	if t.FirstRun || now.Before(t.WarmAt) {
 		return nil
@@ -90,13 +91,13 @@
 	return nil
 }
 
-// freeSlots estimates how many slots of a target are freeSlots.
+// freeSlots estimates how many slots of a target are free.
 func (p *Placer) freeSlots(now time.Time, target *Target) float64 {
 	return float64(target.Slots) - p.outstanding(now, target)
 }
 
-// hasSpareSlots reports whether a target has slots to spare for runs that start cold, in a region with much less load than the
-// host's. Where all regions are nearly full, such runs would fill the rest.
+// hasSpareSlots reports whether a target has slots to spare for runs that start cold, in a region with much less load
+// than the host's. Where all regions are nearly full, such runs would take the last slots.
 func (p *Placer) hasSpareSlots(now time.Time, host, target *Target) bool {
 	if p.freeSlots(now, target) < minFreeForColdRun*float64(target.Slots) {
 		return false
@@ -105,8 +106,8 @@
 	return load < highLoad && load < maxLoadRatio*p.regionSplit.load(now, host.Region)
 }
 
-// mayOverflow reports whether a request may go from its full host to a target. While something is broken, regions take as
-// much as they have room for.
+// mayOverflow reports whether a request may go from its full host to a target. After a failure or a change of targets,
+// regions take as much as they have room for.
 func (p *Placer) mayOverflow(now time.Time, t *Ticket, host, target *Target) bool {
 	if !p.allowed(target, t) || !target.usable(now) || now.Before(target.ColdUntil) {
 		return false
--- a/core/placer/placer.go
+++ b/core/placer/placer.go
@@ -1,18 +1,19 @@
-// Package placer decides, for one service at one entry instance, which target a request goes to, which requests
-// wait for a slot and in which order, and which are refused at once. It is a state machine for use under one lock:
-// Offer, Done and Tick return what they decided.
+// Package placer decides, for one service at one entry instance, which target a request goes to, which requests wait
+// for a slot and in which order, and which are refused at once. It is a state machine for use under one lock: Offer,
+// Done and Tick return what they decided.
 //
-// It answers a load that asks for more slots than there are, from callers of several urgencies, of targets that
-// work faster on objects they handled lately. Each object has a host, the target that is to keep it warm, and its requests
-// go there, wait for it, or go to a second one while it is full. Where no host is known or it can't be used, a request goes
-// where it is expected to be done first. Few requests may wait at a target; the others wait here, where a more urgent one
-// can overtake them. Room goes first to requests that can still be answered on time, most urgent first.
+// It is made for a load that asks for more slots than there are, from callers of several priorities, on targets that
+// work faster on objects they handled recently. Each object has a host, the target that is to keep it warm. Requests
+// for the object go to the host, wait for it, or overflow to a second target while the host is full. Where no host is
+// known or it can't be used, a request goes to the target where it is expected to finish first. Only a few requests may
+// queue at a target; the others wait here, where a more urgent one can overtake them. Free slots go first to requests
+// that can still be answered on time, the most urgent first.
 //
-// A file each: choice finds the target of a request, queue orders those that wait, assigner gives objects their hosts, room
-// finds the targets for them, hosts names some by hash for requests whose host is not known, chance says how likely those
-// are warm, balancer moves objects off targets that have too many, overflow finds a place for requests whose host is full,
-// crowd stands in for what is not known of other instances' requests, spread keeps the parts that go to each region from
-// jumping, target holds what is known of one.
+// The files: choice finds the target of a request, queue orders the waiting requests, assigner assigns objects to their
+// hosts, candidates finds the targets for them, hosts selects hosts by hash for requests whose host is not known,
+// chance estimates how likely those are warm, balancer moves objects away from overloaded targets, overflow finds a
+// target for requests whose host is full, others estimates the load by other instances' requests, split limits how fast
+// the shares of requests that go to each region change, target holds the state of one target.
 package placer
 
 import (
@@ -27,48 +28,51 @@
 )
 
 const (
-	// smoothingDivisor is the weight of the newest service time: an eighth.
+	// smoothingDivisor sets the weight of the newest service time, and of the newest gap between placements, in their
+	// averages: one eighth.
 	smoothingDivisor = 8
-	// noTargetRetry is after what a caller is asked back when a service has no target for it: about as long as a target
-	// takes to announce itself.
+	// noTargetRetry is the time after which a caller is asked to retry when a service has no target for it: about as
+	// long as a target takes to announce itself.
 	noTargetRetry = time.Second
 )
 
-// Ticket is one request that wants a target. Set the exported fields, then Offer it.
+// Ticket is one request that needs a target. Set the exported fields, then Offer it.
 type Ticket struct {
-	// Key names the object concerned, or is empty.
+	// Key names the requested object, or is empty.
 	Key string
-	// CallerPriority is the caller's own priority, which goes before that of what it asks for; 0 is the most urgent of both.
+	// CallerPriority is the caller's own priority. It takes precedence over Priority, that of the requested operation.
+	// In both, 0 is the most urgent.
 	CallerPriority int32
 	Priority       int32
-	// SoftDeadline is until when an answer is on time, Deadline until when it is of use at all.
+	// SoftDeadline is the time up to which an answer is on time, Deadline the time up to which it is of use at all.
 	SoftDeadline time.Time
 	Deadline     time.Time
-	// WarmTime and Cold are the expected service times at a target that has the object warm, and at another.
+	// WarmTime and ColdTime are the expected service times at a target that has the object warm, and at any other
+	// target.
 	WarmTime time.Duration
 	ColdTime time.Duration
-	// Tried are targets not to use again.
+	// Tried are the targets not to use again.
 	Tried []string
-	// Regions that may serve the request; empty allows all.
+	// Regions are those that may serve the request; empty allows all.
 	Regions []string
-	// Host is the target that keeps the object warm, or empty if none is known; WarmAt is when the object's first run
-	// there is expected to have ended, zero if it has.
+	// Host is the target that keeps the object warm, or empty if none is known. WarmAt is when the object's first run
+	// there is expected to end, zero if it has ended.
 	Host   string
 	WarmAt time.Time
-	// FirstRun: this is the object's first run at its host.
+	// FirstRun is set if this is the object's first run at its host.
 	FirstRun bool
-	// Decided receives the decision on a ticket that has to wait; it needs room for one.
+	// Decided receives the decision on a ticket that has to wait; it needs a buffer of one.
 	Decided chan Decision
 
 	arrived       time.Time
 	queueDeadline time.Time
 }
 
-// Decision is what happened to a ticket.
+// Decision is the result for a ticket.
 type Decision struct {
 	// Target is where to send the request, nil if it is refused.
 	Target *Target
-	// Retry is when a refused caller should come back.
+	// Retry is when a refused caller should retry.
 	Retry time.Time
 	// Reason is a single word for logs.
 	Reason string
@@ -76,10 +80,10 @@
 
 // Outcome is how a request at a target ended.
 type Outcome struct {
-	// ResponseTime is the time to the answer, zero if there was none; Usual is what was expected.
+	// ResponseTime is the time to the answer, zero if there was none; ExpectedTime is what was expected.
 	ResponseTime time.Duration
 	ExpectedTime time.Duration
-	// Failed: no answer of use. Unreachable: the target could not be spoken to.
+	// Failed is set if there was no useful answer, Unreachable if the target could not be reached.
 	Failed      bool
 	Unreachable bool
 	// Load is the target's report, if it sent one.
@@ -91,10 +95,11 @@
 	// Region and Zone are this entry instance's own.
 	Region string
 	Zone   string
-	// InterRegionRTT is what it takes to reach another region and come back.
+	// InterRegionRTT is the round-trip time to another region.
 	InterRegionRTT time.Duration
 
-	// firstTargetAt is when the first targets became known, met the names of those known since.
+	// firstTargetAt is when the first targets became known, announced the names of those that were known within
+	// announcePeriod from then on.
 	firstTargetAt   time.Time
 	announced       map[string]bool
 	targets         []*Target
@@ -102,14 +107,15 @@
 	byKey           map[uint32]*Target
 	queue           []*Ticket
 	meanServiceTime time.Duration
-	// placementGap is the smoothed time between two placements while requests waited, as of gapAt; placedAt is the last one.
+	// placementGap is the smoothed time between two placements while requests waited, as of placementGapAt;
+	// lastPlacementAt is when the last placement was made.
 	placementGap    time.Duration
 	placementGapAt  time.Time
 	lastPlacementAt time.Time
-	// totalSlots is how many there are, share how many for each entry instance.
+	// totalSlots is the number of slots of all targets, slotsPerInstance that divided by the number of entry instances.
 	totalSlots       float64
 	slotsPerInstance float64
-	// mostUrgent is the most mostUrgent priority seen since the control state last changed.
+	// mostUrgent is the most urgent priority seen since the control state last changed.
 	mostUrgent  int32
 	regionSplit regionSplit
 	hosts       hosts
@@ -120,23 +126,25 @@
 	assigner assigner
 }
 
-// loadSnapshot is what holds for all targets at one moment, worked out once for all decisions of that moment.
+// loadSnapshot is the load over all targets at one time, computed once for all decisions made at that time.
 type loadSnapshot struct {
 	othersPerSlot float64
-	// slotsScarce: free slots are few. It was worked out at a time, and so many requests were placed or ended since.
+	// slotsScarce is set if few slots are free, as computed at takenAt; changes is how many requests were placed or
+	// ended since.
 	slotsScarce bool
 	takenAt     time.Time
 	changes     float64
 }
 
 const (
-	// snapshotValidity is how long it holds which part of the slots is taken: that needs a walk over all targets.
+	// snapshotValidity is how long slotsScarce holds: computing it takes a pass over all targets.
 	snapshotValidity = 10 * time.Millisecond
-	// snapshotChangeDivisor: it holds no longer than for requests that take or leave a fiftieth of the slots.
+	// snapshotChangeDivisor bounds the changes for which slotsScarce holds: it is recomputed once as many requests as a
+	// fiftieth of the slots were placed or ended.
 	snapshotChangeDivisor = 50
 )
 
-// refreshSnapshot takes the load of this moment.
+// refreshSnapshot updates the load snapshot.
 func (p *Placer) refreshSnapshot(now time.Time) {
 	p.snapshot.othersPerSlot = p.otherLoad.expected(now)
 	if now.Sub(p.snapshot.takenAt) < snapshotValidity && p.snapshot.changes < p.totalSlots/snapshotChangeDivisor {
@@ -145,9 +153,8 @@
 	p.snapshot.slotsScarce, p.snapshot.takenAt, p.snapshot.changes = p.utilisation(now) > scarceUtilisation, now, 0
 }
 
-// Update follows the control state; entries is how many entry instances share the targets. Targets that stay keep
-// what is known of them. It returns those that get no more requests, or started anew, while requests of this instance are
-// there.
+// Update applies the control state; entries is how many entry instances share the targets. Targets that stay keep their
+// state. It returns those that left or restarted while requests of this instance are in flight there.
 func (p *Placer) Update(now time.Time, specs []Spec, entries int) []Spec {
 	old := p.byName
 	p.byName, p.byKey = map[string]*Target{}, map[uint32]*Target{}
@@ -196,7 +203,7 @@
 	return inUse(old)
 }
 
-// inUse returns those targets at which requests of this instance are.
+// inUse returns the targets at which requests of this instance are in flight.
 func inUse(targets map[string]*Target) []Spec {
 	var out []Spec
 	for _, t := range targets {
@@ -207,7 +214,8 @@
 	return out
 }
 
-// ObserveLoads takes the loads of targets as all instances of the region saw them.
+// ObserveLoads takes the loads of targets as measured by all instances of the region. Readings of unknown targets are
+// ignored.
 func (p *Placer) ObserveLoads(now time.Time, loads []gauger.Reading) {
 	for _, r := range loads {
 		if t, ok := p.byKey[r.Target]; ok {
@@ -216,7 +224,8 @@
 	}
 }
 
-// Offer places a ticket at once, lets it wait, or refuses it; waiting is reported by false.
+// Offer places a ticket at once, queues it, or refuses it. It returns false if the ticket was queued; its decision then
+// comes from a later call of Done or Tick.
 func (p *Placer) Offer(now time.Time, t *Ticket) (Decision, bool) {
 	t.arrived = now
 	p.regionSplit.recordArrival(now)
@@ -241,7 +250,7 @@
 	return Decision{}, false
 }
 
-// Done ends a request at a target and returns what is decided in turn.
+// Done ends a request at a target and returns the decisions on waiting tickets that follow from it.
 func (p *Placer) Done(now time.Time, t *Target, o Outcome) []Placed {
 	t.end(now, o)
 	p.snapshot.changes++
@@ -265,7 +274,7 @@
 	Decision Decision
 }
 
-// Tick places waiting tickets into free slots and refuses those whose time is up.
+// Tick places waiting tickets into free slots and refuses those that may not wait any longer.
 func (p *Placer) Tick(now time.Time) []Placed {
 	if len(p.queue) == 0 {
 		return nil
@@ -289,7 +298,7 @@
 	return out
 }
 
-// Cancel takes out a waiting ticket whose caller has gone; it reports whether the ticket still waited.
+// Cancel removes a waiting ticket whose caller no longer waits. It reports whether the ticket was still waiting.
 func (p *Placer) Cancel(t *Ticket) bool {
 	at := slices.Index(p.queue, t)
 	if at < 0 {
--- a/core/placer/queue.go
+++ b/core/placer/queue.go
@@ -7,22 +7,24 @@
 )
 
 const (
-	// lateWaitDivisor: a request that can't be on time is held for at most a quarter of the time it has left, for its
-	// caller can still be served elsewhere or later.
+	// lateWaitDivisor: a request that can't be on time is queued for at most a quarter of the time it has left, because
+	// its caller can still be served elsewhere or later.
 	lateWaitDivisor = 4
-	// defaultServiceTime is taken for the service time before any has been seen.
+	// defaultServiceTime is assumed before any service time was measured.
 	defaultServiceTime = 200 * time.Millisecond
-	// maxPlacementGap bounds what one long time without a placement says of the next ones.
+	// maxPlacementGap bounds the effect of one long time without a placement on the average.
 	maxPlacementGap = time.Second
-	// placementGapDecay is the time in which what the last placements say of the wait loses two thirds of its weight.
+	// placementGapDecay is the time in which the gaps between the last placements lose almost two thirds of their
+	// weight in the expected wait.
 	placementGapDecay = time.Second
-	// minRetry is the shortest time after which a refused caller is asked back.
+	// minRetry is the shortest time after which a refused caller is asked to retry.
 	minRetry = 50 * time.Millisecond
 )
 
-// queueDeadline is until when a ticket waits: while it can be on time, and a little beyond.
+// queueDeadline is the time up to which a ticket waits: while it can be on time, and a little beyond.
 func (p *Placer) queueDeadline(now time.Time, t *Ticket) time.Time {
-	// A first run that begins later than this would be cut off at the deadline; its caller can come back with time anew.
+	// A first run that starts later than this would be cut off at the deadline; a retry of its caller starts with a new
+	// deadline.
 	if last := t.Deadline.Add(-t.ColdTime); t.FirstRun && !last.After(t.SoftDeadline) {
 		return last
 	}
@@ -37,6 +39,7 @@
 	return late
 }
 
+// retryAt is when a refused caller should retry after an expected wait.
 func (p *Placer) retryAt(now time.Time, wait time.Duration) time.Time {
 	return now.Add(max(minRetry, wait))
 }
@@ -52,7 +55,7 @@
 	return n
 }
 
-// less orders tickets: those that can be on time before those that can't, then by urgency, then by age.
+// less orders tickets: those that can be on time before the others, then by urgency, then by age.
 func less(now time.Time, a, b *Ticket) bool {
 	if x, y := a.onTime(now), b.onTime(now); x != y {
 		return x
@@ -68,9 +71,10 @@
 
 func (t *Ticket) onTime(now time.Time) bool { return !now.Add(t.WarmTime).After(t.SoftDeadline) }
 
-// expectedWait estimates how long a ticket would wait for a slot: as long as those ahead of it take at the rate at which
-// waiting requests were placed lately. That fades into the rate of this instance's part of the slots: remembered for
-// good, one slow spell would have requests refused, none would wait, and nothing would show that it is over.
+// expectedWait estimates how long a ticket would wait for a slot. Where its host is known, that follows from the
+// requests ahead of it and at the host. Otherwise it is as long as those ahead of it take at the recent rate of
+// placements from the queue. That rate decays towards the one of this instance's part of the slots: if it were kept,
+// one slow period would have requests refused, none would wait, and nothing would show that the period is over.
 func (p *Placer) expectedWait(now time.Time, t *Ticket) time.Duration {
 	if host := p.host(now, t); host != nil {
 		slots := float64(max(1, host.Slots))
@@ -84,8 +88,9 @@
 	return time.Duration(gap * float64(p.ahead(now, t)+1))
 }
 
-// queuedAt estimates how many requests a target holds beyond its slots: by what this instance knows, or by what all saw if
-// that is more. Without that a request for an overfull target would wait here for a room that others always take first.
+// queuedAt estimates how many requests a target holds beyond its slots: by this instance's estimate, or by the shared
+// load if that is more. Without the latter a request for an overloaded target would wait here for room that others
+// always take first.
 func (p *Placer) queuedAt(now time.Time, host *Target) float64 {
 	held := p.outstanding(now, host)
 	if load, ok := host.recentLoad(now); ok {
@@ -94,7 +99,7 @@
 	return held - float64(host.Slots)
 }
 
-// recordPlacement notes a placement.
+// recordPlacement updates the average gap between placements.
 func (p *Placer) recordPlacement(now time.Time) {
 	if len(p.queue) > 0 && !p.lastPlacementAt.IsZero() {
 		p.placementGap += (min(maxPlacementGap, now.Sub(p.lastPlacementAt)) - p.placementGap) / smoothingDivisor
@@ -103,6 +108,7 @@
 	p.lastPlacementAt = now
 }
 
+// typicalServiceTime is the average service time, or a default before any was measured.
 func (p *Placer) typicalServiceTime() time.Duration {
 	if p.meanServiceTime == 0 {
 		return defaultServiceTime
--- a/core/placer/split.go
+++ b/core/placer/split.go
@@ -10,65 +10,68 @@
 )
 
 const (
-	// awayRate is how much of its requests an entry instance moves between regions in a second while nothing is
-	// broken. Twice that in two seconds stays under the 15% that links between regions are planned for, with room
-	// for chance.
+	// awayRate is the part of its requests that an entry instance moves from its home region to another one in a second
+	// while nothing is broken. Two seconds of it stay under the 15% that links between regions are planned for, with
+	// room for random variation.
 	awayRate = 0.055
-	// returnRate is the same for requests that come back to the home region. They wait there no less, so nothing is lost
-	// by staying away, while the next peak of the home region is met by shares that can take it.
+	// returnRate is the same for requests that return to the home region. They wait no less there, so nothing is lost
+	// by returning slowly, and the next peak of the home region meets shares that can take it.
 	returnRate = 0.03
-	// toleranceFraction is how far a region may be ahead of its share, as a part of two seconds' requests; minPlay is the least,
-	// in requests. More would let chance add up to moves that links are not planned for, less would refuse requests that
-	// could be served on time.
+	// toleranceFraction is how far a region may be ahead of its share, as a part of the requests of two seconds;
+	// minTolerance is the least, in requests. With more, random variation would add up to moves that links are not
+	// planned for; with less, requests would be refused that could be served on time.
 	toleranceFraction = 0.02
 	minTolerance      = 1.4
-	// gapDivisor is the weight of the newest gap between requests in their rate: a fiftieth.
+	// gapDivisor sets the weight of the newest gap between requests in their rate: one fiftieth.
 	gapDivisor = 50
-	// deficitDecay is the time in which what a region is ahead or behind of its share loses half of its weight: moves between
-	// regions are judged over two seconds, and what chance did before need not be made up for.
+	// deficitDecay is the time in which a region's surplus or deficit against its share loses almost two thirds of its
+	// weight. Moves between regions are judged over two seconds, and earlier random variation need not be made up for.
 	deficitDecay = 2 * time.Second
-	// referenceEntries is how many entry instances a region has where each may be ahead by playPart. Of more instances the
-	// deviations cancel out in part, so each may have more.
+	// referenceEntries is the number of entry instances in a region for which toleranceFraction holds. With more
+	// instances the deviations partly cancel out, so each may deviate more.
 	referenceEntries = 9
-	// highLoad and roomy are the loads of the home region, in requests per slot, from which on requests move away and
-	// below which they come home; in between they stay, for each move makes objects run cold once.
+	// highLoad and lowLoad are the loads of the home region, in requests per slot, above which requests move away and
+	// below which they return. In between they stay, because each move makes objects run cold once.
 	highLoad = 0.85
 	lowLoad  = 0.6
-	// maxLoadRatio is how much less load than the home region another one must have to take its requests.
+	// maxLoadRatio is the highest load, relative to that of the home region, at which another region takes its
+	// requests.
 	maxLoadRatio = 0.7
-	// loadDivisor is the weight of the newest report in a region's load.
+	// loadDivisor sets the weight of the newest report in a region's load: one twentieth.
 	loadDivisor = 20
-	// loadValidity is how long a region's load holds without a report, and loadLife the time in which it then loses two
-	// thirds of its weight. A region that requests have left altogether would otherwise look crowded for ever, and they
-	// would never come home. Fading at once would make regions look emptier the less an instance hears of them.
+	// loadValidity is how long a region's load holds without a report, and loadDecay the time in which it then loses
+	// almost two thirds of its weight. Otherwise a region that all requests have left would keep its high load, and
+	// they would never return. With decay from the start, regions would look emptier the fewer reports an instance
+	// receives from them.
 	loadValidity = 2 * time.Second
 	loadDecay    = 2 * time.Second
-	// unlimitedPeriod is how long a failure or a change of targets lets requests move at once: capacity was lost or
-	// found, and slow steps would refuse what can be served.
+	// unlimitedPeriod is how long requests may move without limit after a failure or a change of targets: capacity was
+	// lost or gained, and slow steps would refuse requests that can be served.
 	unlimitedPeriod = 4 * time.Second
 )
 
-// regionSplit keeps the parts of the requests that go to each region from jumping. It answers the peak that saturates one
-// region: all entry instances there would turn to another region in the same second, and swamp its links and targets.
+// regionSplit limits how fast the shares of requests that go to each region change. It guards against a peak that
+// saturates one region: all entry instances there would switch to another region in the same second and overload its
+// links and targets.
 type regionSplit struct {
 	home    string
 	regions []string
-	// shares are the parts that hold now, owed how many requests each region is behind its share, loads the requests
-	// per slot that its targets reported.
+	// shares are the current shares of the regions, deficits how many requests each region is behind its share, loads
+	// the requests per slot that its targets reported.
 	shares   map[string]float64
 	deficits map[string]float64
 	loads    map[string]regionLoad
-	// entries is how many entry instances a region has.
+	// entries is the number of entry instances per region.
 	entries        float64
 	lastArrival    time.Time
 	unlimitedUntil time.Time
-	// rate is the smoothed number of requests a second.
+	// rate is the smoothed number of requests per second.
 	rate float64
 }
 
-// update takes a changed set of targets; slots holds how many each region has. Until the first request the shares
-// update the slots: targets announce themselves one by one, and shares taken from the first few would send a region's
-// first requests to where it has no room, and move away from there in slow steps only.
+// update applies a changed set of targets; slots holds the number of slots of each region. Until the first request the
+// shares follow the slots: targets announce themselves one by one, and shares taken from the first few would send a
+// region's first requests to where there is no room, and would leave there only in slow steps.
 func (s *regionSplit) update(home string, slots map[string]float64) {
 	s.home = home
 	var regions []string
@@ -84,8 +87,8 @@
 	s.deficits, s.loads = map[string]float64{}, map[string]regionLoad{}
 }
 
-// initialShares keeps at home what the home region's slots can take if all regions ask alike, and sends the rest where
-// slots are left over.
+// initialShares keeps at home what the home region's slots can take if all regions have the same demand, and sends the
+// rest where slots are left over.
 func initialShares(home string, slots map[string]float64) map[string]float64 {
 	total := 0.0
 	for _, n := range slots {
@@ -114,6 +117,7 @@
 	return out
 }
 
+// evenShares returns out, or the same share for each region where out is empty.
 func evenShares(out, slots map[string]float64) map[string]float64 {
 	if len(out) > 0 {
 		return out
@@ -124,10 +128,10 @@
 	return out
 }
 
-// liftLimit lets requests move at once for a while.
+// liftLimit allows requests to move without limit for unlimitedPeriod.
 func (s *regionSplit) liftLimit(now time.Time) { s.unlimitedUntil = now.Add(unlimitedPeriod) }
 
-// unlimited reports whether requests may move at once.
+// unlimited reports whether requests may move without limit.
 func (s *regionSplit) unlimited(now time.Time) bool { return now.Before(s.unlimitedUntil) }
 
 // allows reports whether one more request may go to a region.
@@ -146,6 +150,7 @@
 	at      time.Time
 }
 
+// load returns a region's requests per slot; without reports it decays.
 func (s *regionSplit) load(now time.Time, region string) float64 {
 	l := s.loads[region]
 	return l.perSlot * gauger.Fade(now.Sub(l.at)-loadValidity, loadDecay)
@@ -161,7 +166,7 @@
 	s.loads[t.Region] = regionLoad{perSlot: old + (reported-old)/loadDivisor, at: now}
 }
 
-// recordArrival counts a request, and moves the shares a little to where there is room.
+// recordArrival counts a request, and moves the shares a small step to where there is room.
 func (s *regionSplit) recordArrival(now time.Time) {
 	elapsed := time.Duration(0)
 	if !s.lastArrival.IsZero() {
@@ -176,7 +181,7 @@
 	s.adjustShares(now, elapsed.Seconds())
 }
 
-// updateRate follows the rate of requests from the time between two.
+// updateRate updates the rate of requests with the time between two of them.
 func (s *regionSplit) updateRate(elapsed time.Duration) {
 	if elapsed <= 0 || elapsed >= time.Second {
 		return
@@ -189,8 +194,8 @@
 	s.rate = 1 / gap
 }
 
-// adjustShares moves the shares for a part of a second: away from a crowded home region to the lightest one, or home again from
-// the heaviest.
+// adjustShares moves the shares for the given number of seconds: away from an overloaded home region to the least
+// loaded one, or back home from the most loaded.
 func (s *regionSplit) adjustShares(now time.Time, seconds float64) {
 	if !slices.Contains(s.regions, s.home) {
 		return
@@ -208,7 +213,8 @@
 	}
 }
 
-// leastAndMostLoaded returns the regions but the home one with the least load, and with the most of those that have a share.
+// leastAndMostLoaded returns, of the regions other than the home one, the least loaded, and the most loaded of those
+// that have a share.
 func (s *regionSplit) leastAndMostLoaded(now time.Time) (leastLoaded, mostLoaded string) {
 	for _, r := range s.regions {
 		if r == s.home {
@@ -224,6 +230,7 @@
 	return leastLoaded, mostLoaded
 }
 
+// shift moves an amount of the shares between two regions, at most what the first one has.
 func (s *regionSplit) shift(from, to string, amount float64) {
 	if from == "" {
 		return
@@ -233,7 +240,7 @@
 	s.shares[to] += amount
 }
 
-// recordSend counts a request that goes to a region.
+// recordSend counts a request that is sent to a region.
 func (s *regionSplit) recordSend(region string) {
 	for _, r := range s.regions {
 		s.deficits[r] += s.shares[r]
--- a/core/placer/target.go
+++ b/core/placer/target.go
@@ -8,30 +8,31 @@
 )
 
 const (
-	// reportDecayFactor is in how many service times what a target's report said of other instances' requests loses two
-	// thirds of its weight; most of those requests have ended then.
+	// reportDecayFactor is the number of service times in which a target's report of other instances' requests loses
+	// almost two thirds of its weight; most of those requests have ended by then.
 	reportDecayFactor = 1.5
-	// minEjection and ejectMost bound how long a target that can't be reached is left alone; each failure in a row
-	// doubles it.
+	// minEjection and maxEjection bound how long a target that can't be reached gets no requests; each failure in a row
+	// doubles the time.
 	minEjection = 250 * time.Millisecond
 	maxEjection = 4 * time.Second
 	// maxDoublings keeps the doubling from overflowing.
 	maxDoublings = 5
-	// coldWindow is the span in which requests to a cold target are counted.
+	// coldWindow is the span over which requests to a cold target are counted.
 	coldWindow = time.Second
-	// outcomeWeight is the weight of the outcomeWeight outcome in a target's pace and failure rate.
+	// outcomeWeight is the weight of the newest outcome in a target's time ratio and failure rate.
 	outcomeWeight = 0.2
-	// estimateDecay is the time in which a bad opinion of a target loses two thirds of its weight, so that it is tried
-	// again: outages and slow spells last some seconds.
+	// estimateDecay is the time in which a bad estimate of a target loses almost two thirds of its weight, so that the
+	// target is tried again: outages and slow periods last some seconds.
 	estimateDecay = 4 * time.Second
-	// minTimeRatio and maxPace bound how much one outcome can say of a target's pace.
+	// minTimeRatio and maxTimeRatio bound the effect of one outcome on a target's time ratio.
 	minTimeRatio = 0.5
 	maxTimeRatio = 16
-	// coldTimeRatio is how much slower a target works that has just started, until it has shown its own pace.
+	// coldTimeRatio is the least time ratio assumed for a target before its ColdUntil: a target that has just started
+	// is slower until it has shown its own speed.
 	coldTimeRatio = 2
 )
 
-// Spec is what the control state says of a target.
+// Spec is a target's entry in the control state.
 type Spec struct {
 	Name        string
 	Incarnation uint64
@@ -41,13 +42,13 @@
 	Slots       int32
 	// OwnSlots is how many of its slots belong to this entry instance.
 	OwnSlots int32
-	// ColdUntil is the end of the target's cold time; Rate is how many requests a second this entry instance may
+	// ColdUntil is the end of the target's cold period; Rate is how many requests per second this entry instance may
 	// send it until then.
 	ColdUntil time.Time
 	Rate      float64
 }
 
-// Target is one target with what this entry instance knows of it. Only its Placer changes it.
+// Target is one target with its state as seen by this entry instance. Only its Placer changes it.
 type Target struct {
 	Spec
 
@@ -55,44 +56,48 @@
 	// others is how many requests of other instances it held at othersAt.
 	others   float64
 	othersAt time.Time
-	// sharedLoad is its load in requests per slot, as all instances of the region saw it at toldAt.
+	// sharedLoad is its load in requests per slot, as measured by all instances of the region, received at
+	// sharedLoadAt.
 	sharedLoad   float64
 	sharedLoadAt time.Time
-	// pendingSlots are the slots that objects need which were placed here lately and may not show in the load yet.
+	// pendingSlots are the slots needed by objects that were assigned to it recently and may not show in the load yet,
+	// as of pendingAt.
 	pendingSlots float64
 	pendingAt    time.Time
-	// timeRatio is its service time over the usual one, bad its part of failures, as of opinionAt.
+	// timeRatio is its service time over the expected one, failureRate the part of its requests that failed, both
+	// smoothed and as of estimatesAt.
 	timeRatio   float64
 	failureRate float64
 	estimatesAt time.Time
-	// failures are those in a row to reach it.
+	// failures is the number of consecutive failures to reach it.
 	failures     int
 	ejectedUntil time.Time
-	// coldSends are the latest sends while it was cold.
+	// coldSends are the times of the latest requests sent to it during its cold period.
 	coldSends []time.Time
-	// joinedAt is when it came beside others, zero if it was there at first.
+	// joinedAt is when it joined the other targets, zero if it was there from the start.
 	joinedAt time.Time
 }
 
 const (
-	// sharedLoadTTL is how long a load holds that is not told again.
+	// sharedLoadTTL is how long a shared load holds without an update.
 	sharedLoadTTL = 5 * time.Second
-	// pendingDecay is the time in which objects that were placed at a target show in the load that is told.
+	// pendingDecay is the time in which objects assigned to a target show in its shared load.
 	pendingDecay = 2 * time.Second
 )
 
-// recentLoad is the target's load as told lately, false if there is none.
+// recentLoad is the target's shared load, false if there was no update recently.
 func (t *Target) recentLoad(now time.Time) (float64, bool) {
 	return t.sharedLoad, now.Sub(t.sharedLoadAt) < sharedLoadTTL
 }
 
-// addPending notes that an object was placed here which needs so many slots.
+// addPending records that an object was assigned to the target which needs so many slots.
 func (t *Target) addPending(now time.Time, slots float64) {
 	t.pendingSlots = t.pendingSlots*gauger.Fade(now.Sub(t.pendingAt), pendingDecay) + slots
 	t.pendingAt = now
 }
 
-// expectedLoad is the load with what was placed here lately. A target that nothing is told of has none.
+// expectedLoad is the shared load plus the pending slots, in requests per slot. Without a recent shared load only the
+// pending slots count.
 func (t *Target) expectedLoad(now time.Time) float64 {
 	pending := t.pendingSlots * gauger.Fade(now.Sub(t.pendingAt), pendingDecay) / max(1, float64(t.Slots))
 	if load, ok := t.recentLoad(now); ok {
@@ -103,11 +108,11 @@
 
 func newTarget() *Target { return &Target{timeRatio: 1} }
 
-// downAfter is how many failures in a row to reach a target show that it is down. One is often a lost connection only, and
-// objects that leave for it run cold elsewhere.
+// downAfter is how many consecutive failures to reach a target mark it as down. A single one is often only a lost
+// connection, and objects that leave because of it run cold elsewhere.
 const downAfter = 2
 
-// readyAt is from when on the target can keep objects warm, zero if it could from the start.
+// readyAt is when the target became able to keep objects warm, zero if it could from the start.
 func (t *Target) readyAt() time.Time {
 	if t.ColdUntil.After(t.joinedAt) {
 		return t.ColdUntil
@@ -115,12 +120,12 @@
 	return t.joinedAt
 }
 
-// down reports whether the target's objects have to go elsewhere: it can't be reached, or has lost what it kept warm.
+// down reports whether the target's objects have to go elsewhere: it can't be reached, or has lost its warm objects.
 func (t *Target) down(now time.Time) bool {
 	return now.Before(t.ColdUntil) || t.failures >= downAfter && now.Before(t.ejectedUntil)
 }
 
-// usable reports whether the target may be sent to at all now.
+// usable reports whether requests may be sent to the target now.
 func (t *Target) usable(now time.Time) bool {
 	if now.Before(t.ejectedUntil) {
 		return false
@@ -139,7 +144,7 @@
 	return t.coldSends
 }
 
-// slowdown is how many times longer than usual the target is expected to take, failures counted as time lost.
+// slowdown is the factor by which the target is expected to take longer than usual, with failures counted as lost time.
 func (t *Target) slowdown(now time.Time) float64 {
 	weight := gauger.Fade(now.Sub(t.estimatesAt), estimateDecay)
 	timeRatio := 1 + (t.timeRatio-1)*weight
@@ -149,8 +154,8 @@
 	return timeRatio * (1 + failureCost*t.failureRate*weight)
 }
 
-// failureCost is what a failure costs, in service times: the time until it shows, another attempt elsewhere, and that a
-// request that must not repeat gets no other.
+// failureCost is the cost of a failure in service times: the time until it shows, another attempt elsewhere, and that a
+// request that must not be repeated gets no other attempt.
 const failureCost = 5
 
 func (t *Target) start(now time.Time) {
@@ -185,7 +190,7 @@
 	}
 }
 
-// decayEstimates lets the opinion fade to this moment, so that newer outcomes add to what is left of it.
+// decayEstimates applies the decay up to now, so that newer outcomes add to what is left of the estimates.
 func (t *Target) decayEstimates(now time.Time) {
 	weight := gauger.Fade(now.Sub(t.estimatesAt), estimateDecay)
 	t.timeRatio = 1 + (t.timeRatio-1)*weight
