--- a/core/chooser/chooser.go
+++ b/core/chooser/chooser.go
@@ -17,7 +17,7 @@
 	Address netip.AddrPort
 	Region  string
 	Zone    string
-	// Spare is the room that the instance reported, in requests; it weighs the choice.
+	// Spare is the spare capacity that the instance reported, in requests; it weights the choice.
 	Spare int64
 
 	hash uint64
@@ -60,13 +60,13 @@
 // Len returns how many instances there are.
 func (l *List) Len() int { return l.count }
 
-// MaxAnswers is how many instances an answer names at most.
+// MaxAnswers is the most instances that an answer names.
 const MaxAnswers = 3
 
-// Choose fills out with up to Answers instances for a client: the nearest region by weighted rendezvous,
-// so that a client keeps its instance while the set changes elsewhere; then two alternatives, the first in
-// another availability zone if the region has one. It returns how many it filled, and does not allocate.
-// Only the nearest group is looked at, unless it has too few.
+// Choose fills out with up to MaxAnswers instances for a client. The first is chosen from the nearest region by
+// weighted rendezvous hashing, so that a client keeps its instance while other instances come and go; two alternatives
+// follow, the first of them in another availability zone if the region has one. Only the nearest group is considered,
+// unless it has too few instances. Choose returns how many it filled, and does not allocate.
 func (l *List) Choose(client netip.Addr, region string, out *[MaxAnswers]*Instance) int {
 	groups, ok := l.regions[region]
 	if !ok {
@@ -78,41 +78,41 @@
 		if count == MaxAnswers {
 			break
 		}
-		var r race
+		var r ranking
 		for i := range instances {
-			r.enter(&instances[i], weigh(seed, &instances[i]))
+			r.add(&instances[i], weightedScore(seed, &instances[i]))
 		}
-		count = r.award(out, count)
+		count = r.appendTo(out, count)
 	}
 	return count
 }
 
-// race keeps the best instances of a group in one pass.
-type race struct {
-	top [MaxAnswers]contender
-	// other is the best in another availability zone than the winner's.
-	other contender
+// ranking keeps the best instances of a group in one pass.
+type ranking struct {
+	top [MaxAnswers]candidate
+	// otherZone is the best in another availability zone than that of the first.
+	otherZone candidate
 }
 
-type contender struct {
+type candidate struct {
 	instance *Instance
 	score    float64
 }
 
-func (r *race) enter(in *Instance, score float64) {
-	winner := r.top[0].instance
+func (r *ranking) add(in *Instance, score float64) {
+	best := r.top[0].instance
 	switch {
-	case winner == nil || score > r.top[0].score:
-		if winner != nil && winner.Zone != in.Zone {
-			r.other = r.top[0]
+	case best == nil || score > r.top[0].score:
+		if best != nil && best.Zone != in.Zone {
+			r.otherZone = r.top[0]
 		}
-	case in.Zone != winner.Zone && score > r.other.score:
-		r.other = contender{in, score}
+	case in.Zone != best.Zone && score > r.otherZone.score:
+		r.otherZone = candidate{in, score}
 	}
-	r.rank(contender{in, score})
+	r.insert(candidate{in, score})
 }
 
-func (r *race) rank(c contender) {
+func (r *ranking) insert(c candidate) {
 	for i := range r.top {
 		if r.top[i].instance == nil || c.score > r.top[i].score {
 			c, r.top[i] = r.top[i], c
@@ -123,9 +123,10 @@
 	}
 }
 
-// award names the winner, then the best of another zone, then the rest by score.
-func (r *race) award(out *[MaxAnswers]*Instance, count int) int {
-	order := [MaxAnswers + 1]*Instance{r.top[0].instance, r.other.instance, r.top[1].instance, r.top[2].instance}
+// appendTo adds the best instance to out from position count on, then the best of another availability zone, then the
+// rest by score. It returns the new count.
+func (r *ranking) appendTo(out *[MaxAnswers]*Instance, count int) int {
+	order := [MaxAnswers + 1]*Instance{r.top[0].instance, r.otherZone.instance, r.top[1].instance, r.top[2].instance}
 	for _, in := range order {
 		if in == nil || count == MaxAnswers || slices.Contains(out[:count], in) {
 			continue
@@ -141,8 +142,8 @@
 	return xxhash.Sum64(bytes[:])
 }
 
-// weigh is the logarithmic form of weighted rendezvous hashing.
-func weigh(seed uint64, in *Instance) float64 {
+// weightedScore is the logarithmic form of weighted rendezvous hashing.
+func weightedScore(seed uint64, in *Instance) float64 {
 	var buffer [16]byte
 	binary.LittleEndian.PutUint64(buffer[:8], seed)
 	binary.LittleEndian.PutUint64(buffer[8:], in.hash)
--- a/core/chooser/chooser_test.go
+++ b/core/chooser/chooser_test.go
@@ -33,11 +33,11 @@
 	return netip.AddrFrom4([4]byte{10, byte(i >> 16), byte(i >> 8), byte(i)})
 }
 
-// slow is the naive choice: it sorts nothing out beforehand and looks at all instances for every place.
-func slow(all []Instance, c netip.Addr, region string) []string {
+// naiveChoice is the reference: it prepares nothing and scans all instances for every position.
+func naiveChoice(all []Instance, c netip.Addr, region string) []string {
 	var out []string
 	var zone string
-	for place := range MaxAnswers {
+	for position := range MaxAnswers {
 		best, bestRank, bestScore := -1, 0, 0.0
 		for i := range all {
 			in := all[i]
@@ -45,10 +45,10 @@
 				continue
 			}
 			rank := 2 * distance(region, in.Region)
-			if place == 1 && in.Zone == zone {
+			if position == 1 && in.Zone == zone {
 				rank++
 			}
-			score := weigh(seedOf(c), &in)
+			score := weightedScore(seedOf(c), &in)
 			if best < 0 || rank < bestRank || rank == bestRank && score > bestScore {
 				best, bestRank, bestScore = i, rank, score
 			}
@@ -56,7 +56,7 @@
 		if best < 0 {
 			return out
 		}
-		if place == 0 {
+		if position == 0 {
 			zone = all[best].Zone
 		}
 		out = append(out, all[best].Name)
@@ -73,7 +73,7 @@
 	return out
 }
 
-func TestAgainstNaiveChoice(t *testing.T) {
+func TestChooseMatchesNaiveChoice(t *testing.T) {
 	is := is.New(t)
 	for n := range 14 {
 		random := rand.New(rand.NewPCG(uint64(n), 31))
@@ -91,14 +91,14 @@
 		for range 300 {
 			c := client(random.IntN(1 << 20))
 			region := regions[random.IntN(3)]
-			is.Equal(names(l, c, region), slow(hashed, c, region))
+			is.Equal(names(l, c, region), naiveChoice(hashed, c, region))
 		}
 	}
 }
 
-// An instance leaves. Only the callers that used it may move; if all were dealt out anew, every cache
-// behind every instance would be cold at once.
-func TestOnlyTheLeaversCallersMove(t *testing.T) {
+// Guards against the removal of one instance moving the clients of others: if all clients were redistributed, every
+// cache behind every instance would be cold at once.
+func TestOnlyClientsOfRemovedInstanceMove(t *testing.T) {
 	is := is.New(t)
 	before := New(instances(12), regions, distance)
 	after := New(instances(12)[1:], regions, distance)
--- a/core/partitioner/partitioner.go
+++ b/core/partitioner/partitioner.go
@@ -1,6 +1,6 @@
-// Package partitioner divides the slots of targets among entry instances, so that each sends only into slots
-// of its own. Every instance computes the same division from the same lists; while the lists differ for a
-// moment a target may get more than its slots, and sheds it as not run.
+// Package partitioner divides the slots of targets among entry instances, so that each sends only into slots of its
+// own. Every instance computes the same division from the same lists. While the lists differ for a moment, a target may
+// get more requests than it has slots, and sheds them unrun.
 package partitioner
 
 import (
@@ -9,7 +9,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Target is a back end with its slots.
+// Target is a target with its slots.
 type Target struct {
 	Name   string
 	Region string
@@ -22,13 +22,13 @@
 	Region string
 }
 
-// Members are the entry instances that share targets, sorted once for any number of them.
+// Members are the entry instances that share targets, sorted once for any number of targets.
 type Members struct {
 	all      []string
 	byRegion map[string][]string
 }
 
-// NewMembers lists the instances that take part.
+// NewMembers sorts the instances that take part.
 func NewMembers(instances []Instance) *Members {
 	p := &Members{byRegion: map[string][]string{}}
 	for _, in := range instances {
@@ -42,44 +42,45 @@
 	return p
 }
 
-// near returns the sorted names of those who share a region's slots.
-func (p *Members) near(region string) []string {
+// forRegion returns the sorted names of the instances that share a region's slots.
+func (p *Members) forRegion(region string) []string {
 	if names := p.byRegion[region]; len(names) > 0 {
 		return names
 	}
 	return p.all
 }
 
-// slot is one place at one target.
+// slot is one slot of one target.
 type slot struct {
 	target int
 	hash   uint64
 }
 
-// Partition returns how many slots of each target belong to the instance, in the order of targets. The
-// slots of a region go to the instances there, or to all where the region has none. Where there are
-// fewer slots than instances, several share one.
-func Partition(self string, partners *Members, targets []Target) []int32 {
+// Partition returns how many slots of each target belong to the instance, in the order of targets. The slots of a
+// region are divided among the instances there, or among all where the region has none. Where there are fewer slots
+// than instances, several share one.
+func Partition(self string, members *Members, targets []Target) []int32 {
 	out := make([]int32, len(targets))
 	byRegion := map[string][]slot{}
 	for i, u := range targets {
 		for n := range u.Slots {
-			byRegion[u.Region] = append(byRegion[u.Region], slot{i, hashOf(u.Name, n)})
+			byRegion[u.Region] = append(byRegion[u.Region], slot{i, slotHash(u.Name, n)})
 		}
 	}
 	for region, slots := range byRegion {
-		deal(self, partners.near(region), slots, out)
+		distribute(self, members.forRegion(region), slots, out)
 	}
 	return out
 }
 
-// Owner returns the instance that alone sends to a target, of those in its region if there are any.
-func Owner(target string, partners *Members, region string) string {
-	return First(target, partners.near(region))
+// Owner returns the instance that alone sends to a target: one of its region, or any where the region has none.
+func Owner(target string, members *Members, region string) string {
+	return HighestWeight(target, members.forRegion(region))
 }
 
-// First returns the name with the greatest rendezvous weight for a key, or nothing where there are none.
-func First(key string, names []string) string {
+// HighestWeight returns the name with the greatest rendezvous weight for a key, or an empty string if there are no
+// names.
+func HighestWeight(key string, names []string) string {
 	best, most := "", uint64(0)
 	for _, name := range names {
 		if h := Weight(key, name); best == "" || h > most {
@@ -99,18 +100,19 @@
 	return d.Sum64()
 }
 
-func hashOf(name string, n int32) uint64 {
+// slotHash is the hash by which the n-th slot of a target is ordered.
+func slotHash(name string, n int32) uint64 {
 	var d xxhash.Digest
 	d.ResetWithSeed(uint64(n))
 	_, _ = d.WriteString(name)
 	return d.Sum64()
 }
 
-// deal goes round the partners with the slots in an order that mixes the targets, so that each partner
-// has slots at many of them and the loss of one takes little from everybody.
-func deal(self string, names []string, slots []slot, out []int32) {
-	at := sort.SearchStrings(names, self)
-	if at == len(names) || names[at] != self {
+// distribute assigns the slots to the instances in turn, in an order that mixes the targets, so that each instance has
+// slots at many of them and the loss of one target costs each instance little.
+func distribute(self string, names []string, slots []slot, out []int32) {
+	position := sort.SearchStrings(names, self)
+	if position == len(names) || names[position] != self {
 		return
 	}
 	sort.Slice(slots, func(i, j int) bool {
@@ -120,7 +122,7 @@
 		return slots[i].target < slots[j].target
 	})
 	for i := range max(len(slots), len(names)) {
-		if i%len(names) == at {
+		if i%len(names) == position {
 			out[slots[i%len(slots)].target]++
 		}
 	}
--- a/core/partitioner/partitioner_test.go
+++ b/core/partitioner/partitioner_test.go
@@ -30,8 +30,8 @@
 	return out
 }
 
-// Instances that choose targets without knowing of each other send more to some of them than they have
-// slots for, while others idle. Dealt out, every slot belongs to exactly one instance.
+// Guards against instances that send more requests to some targets than those have slots, while others idle, because
+// each chooses without knowledge of the others' choices.
 func TestEverySlotHasOneOwner(t *testing.T) {
 	for _, c := range []struct{ instances, targets int }{{12, 20}, {8, 12}, {3, 30}, {12, 12}} {
 		t.Run(fmt.Sprint(c), func(t *testing.T) {
@@ -57,7 +57,7 @@
 	}
 }
 
-func TestEveryoneHasASlot(t *testing.T) {
+func TestEveryInstanceHasASlot(t *testing.T) {
 	is := is.New(t)
 	in, up := setup(12, 3, 1)
 	for _, i := range in {
