--- a/core/partitioner/partitioner_test.go
+++ b/core/partitioner/partitioner_test.go
@@ -51,7 +51,7 @@
 		own := int32(0)
 		for u, n := range Partition(i.Name, NewMembers(in), up) {
 			own += n
-			is.True(n == 0 || up[u].Region == i.Region) // near ones only
+			is.True(n == 0 || up[u].Region == i.Region) // only in its own region
 		}
 		is.True(own == 5 || own == 6)
 	}
--- a/core/placer/assigner.go
+++ b/core/placer/assigner.go
@@ -174,14 +174,18 @@
 }
 
 // assignCold assigns an object to a target that does not have it warm.
-func (p *Placer) assignCold(now time.Time, object uint64, request AssignRequest, target *Target, reason string) Assignment {
+func (p *Placer) assignCold(now time.Time, object uint64, request AssignRequest, target *Target, reason string,
+) Assignment {
 	target.addPending(now, p.assigner.slotsPerObject)
 	return p.assigner.placeAt(now, object, request, target.Name, reason)
 }
 
 // placeAt stores a new version of an object's assignment.
 func (a *assigner) placeAt(now time.Time, object uint64, request AssignRequest, target, reason string) Assignment {
-	next := &assignedObject{target: target, route: request.Route, version: 1, placedAt: now, warmAt: now.Add(request.ColdTime), lastRequest: request}
+	next := &assignedObject{
+		target: target, route: request.Route, version: 1, placedAt: now, warmAt: now.Add(request.ColdTime),
+		lastRequest: request,
+	}
 	if old, ok := a.objects[object]; ok {
 		next.version = old.version + 1
 	}
@@ -195,7 +199,8 @@
 func (a *assigner) store(object uint64, next *assignedObject) {
 	a.remove(object)
 	if a.objects == nil || len(a.objects) >= maxObjects {
-		a.objects, a.objectCounts, a.owned = map[uint64]*assignedObject{}, map[string]map[string]int{}, map[uint64]*assignedObject{}
+		a.objects, a.objectCounts, a.owned = map[uint64]*assignedObject{}, map[string]map[string]int{},
+			map[uint64]*assignedObject{}
 	}
 	a.objects[object] = next
 	if a.owns != nil && a.owns(object) {
--- a/core/placer/assigner_test.go
+++ b/core/placer/assigner_test.go
@@ -16,7 +16,7 @@
 	return AssignRequest{Object: object, Route: "view", ColdTime: coldRun}
 }
 
-// threeRegionSpecs are fourteen targets in three regions, two of them where a third of the callers are.
+// threeRegionSpecs are fourteen targets in three regions; the region "few" has two of them and a third of the callers.
 func threeRegionSpecs() []Spec {
 	var out []Spec
 	for region, n := range map[string]int{"few": 2, "many": 6, "most": 6} {
@@ -36,7 +36,7 @@
 	return p
 }
 
-// assignObjects asks for objects one after the other and counts them by target.
+// assignObjects requests assignments of objects one after the other and counts them by target.
 func assignObjects(now time.Time, p *Placer, prefix string, n int) map[string]int {
 	counts := map[string]int{}
 	for i := range n {
@@ -45,8 +45,8 @@
 	return counts
 }
 
-// Two callers ask for an object that no target has warm, one a moment after the other. Sent at once, the second request
-// would run cold beside the first, take three times its slot time and be no earlier.
+// Guards against a second request that runs cold beside the first run of an object that no target has warm: it would
+// take three times its slot time and end no earlier.
 func TestSecondRequestWaitsForFirstRun(t *testing.T) {
 	is := is.New(t)
 	p := newOwner("many", threeRegionSpecs(), 0, 1)
@@ -66,8 +66,8 @@
 	is.Equal(placed[0].Decision.Target.Name, first.Target)
 }
 
-// The object's first run ends later than the request can wait. It is refused at once and told when to come back, for its
-// time would be over before it got its turn.
+// Guards against a request that waits for the object's first run though its time is over by then: it is refused at
+// once, with a time to retry.
 func TestRequestThatCannotWaitForFirstRunIsRefused(t *testing.T) {
 	is := is.New(t)
 	p := newOwner("many", threeRegionSpecs(), 0, 1)
@@ -79,8 +79,9 @@
 	is.Equal(decision.Retry, start.Add(coldRun))
 }
 
-// Objects fall to targets by chance, so that one has three times as many as another: its callers wait in its queue while
-// other targets idle. Placed by count they come out even, over the objects of all instances together too.
+// Guards against targets with three times as many objects as others, as when objects are assigned at random: callers
+// wait in queues there while other targets idle. Assigned by count they are even, also over the objects of all
+// instances.
 func TestObjectsAreSpreadEvenly(t *testing.T) {
 	specs := threeRegionSpecs()
 	for region, want := range map[string]float64{"most": 44.0 / 6, "few": 0.43 * 44 / 2} {
@@ -101,7 +102,7 @@
 	}
 }
 
-// A target dies. Its objects go to others at once, and all others stay where they are warm.
+// Guards against moves of objects whose target is still there when another target is lost: they would run cold.
 func TestOnlyObjectsOfLostTargetMove(t *testing.T) {
 	is := is.New(t)
 	specs := threeRegionSpecs()
@@ -121,8 +122,8 @@
 	}
 }
 
-// The instance that answered for an object is gone, and the next one knows nothing of it. Whoever asks tells where the
-// object was last; placed anew, all objects of the lost instance would run cold.
+// Guards against cold runs of all objects of a lost owner: the next owner has no record of them, and must use the hint
+// of the requester, where the object was last.
 func TestNextOwnerUsesHints(t *testing.T) {
 	is := is.New(t)
 	p := newOwner("many", threeRegionSpecs(), 1, 2)
@@ -133,8 +134,8 @@
 	is.True(found.WarmAt.IsZero())
 }
 
-// All instances restart at once. An object's target has kept it warm and announces itself within seconds, but not first.
-// Placed at those that came first, all objects would run cold on a few of the targets.
+// Guards against cold runs of all objects on a few targets after all instances restart at once: an object's target has
+// kept it warm and announces itself within seconds, but not as the first one.
 func TestObjectsWaitForTheirTargetsAfterRestart(t *testing.T) {
 	is := is.New(t)
 	specs := threeRegionSpecs()
@@ -153,7 +154,7 @@
 	placed := p.Tick(start.Add(600 * time.Millisecond))
 	is.Equal(len(placed), 1)
 	is.Equal(placed[0].Decision.Target.Name, request.Hint)
-	t.Run("but not for ever", func(t *testing.T) {
+	t.Run("but not indefinitely", func(t *testing.T) {
 		is := is.New(t)
 		request := newAssignRequest("b")
 		request.Hint = "gone"
@@ -162,8 +163,8 @@
 	})
 }
 
-// A target is added while every object has its place. Left to new objects alone, it would idle beside full ones; it gets
-// about its part, a few objects at a time.
+// Guards against a new target that gets only new objects and idles beside full ones, because every object has a target:
+// it must get about its share, a few objects at a time.
 func TestNewTargetGetsItsShareOfObjects(t *testing.T) {
 	is := is.New(t)
 	specs := threeRegionSpecs()
@@ -181,9 +182,9 @@
 	is.True(n >= 8 && n <= 28) // 132 objects, seven targets
 }
 
-// All targets of a region are emptied for some work and taken back. Their objects have found places in other regions; left
-// there, all requests of the region would cross the links for good, beside idle targets. They come home, but no faster than
-// links are planned for.
+// Guards against objects that stay in other regions after all targets of their region were withdrawn and have returned:
+// all requests of the region would cross the links permanently, beside idle targets. They must return, but no faster
+// than the links are planned for.
 func TestObjectsReturnToRecoveredRegion(t *testing.T) {
 	is := is.New(t)
 	specs := threeRegionSpecs()
@@ -209,7 +210,7 @@
 		p.Balance(now)
 	}
 	n := atHome(now)
-	is.True(n >= 3 && n <= 5) // a fiftieth a second, for two seconds
+	is.True(n >= 3 && n <= 5) // one fiftieth per second, for two seconds
 	for range 8000 {
 		now = now.Add(10 * time.Millisecond)
 		p.Balance(now)
@@ -217,8 +218,8 @@
 	is.True(atHome(now) > 95)
 }
 
-// A target is cold for some seconds and its objects have found other places. It was there all the time, so that nothing tells
-// it from the others when it is warm again; left out, it would idle beside full ones for good.
+// Guards against a target that stays empty after a cold period. Its objects were assigned elsewhere, and since it was
+// known all the time, it does not count as joined; without its share of objects it would idle beside full targets.
 func TestTargetGetsItsShareAfterColdPeriod(t *testing.T) {
 	is := is.New(t)
 	specs := threeRegionSpecs()
@@ -238,16 +239,17 @@
 	is.True(assignObjects(now, p, "", objects)[specs[lost].Name] >= 4) // 60 objects, six targets
 }
 
-// A request is to make its object's first run, which takes nearly all the time that its route allows. Held back for a slot,
-// it would be cut off in the middle, with its caller in doubt about a booking; told to come back it has its time anew.
+// Guards against an object's first run that is queued for a slot though it takes nearly all the time that its route
+// allows: it would be cut off at the deadline, with the outcome of a booking unknown to the caller. Refused, the caller
+// retries with a new deadline.
 func TestFirstRunThatWouldExceedDeadlineIsNotStarted(t *testing.T) {
 	is := is.New(t)
 	p := newOwner("most", []Spec{{Name: "a", Region: "most", Slots: 1, OwnSlots: 1}}, 0, 1)
 	busy, _ := p.Offer(start, &Ticket{Host: "a", Deadline: start.Add(time.Minute)})
 	is.True(busy.Target != nil)
 	k := &Ticket{
-		Host: "a", FirstRun: true, WarmTime: 300 * time.Millisecond, ColdTime: 1100 * time.Millisecond, SoftDeadline: start.Add(800 * time.Millisecond),
-		Deadline: start.Add(1200 * time.Millisecond), Decided: make(chan Decision, 1),
+		Host: "a", FirstRun: true, WarmTime: 300 * time.Millisecond, ColdTime: 1100 * time.Millisecond,
+		SoftDeadline: start.Add(800 * time.Millisecond), Deadline: start.Add(1200 * time.Millisecond), Decided: make(chan Decision, 1),
 	}
 	decision, decided := p.Offer(start, k)
 	if !decided {
@@ -259,8 +261,8 @@
 	is.True(decision.Retry.After(start))
 }
 
-// A target leaves in the first second after a start. It was there and is not coming back; a request that waited for it to
-// announce itself would be refused, though another target has room.
+// Guards against requests that wait for a target that left in the first second after a start: it was there and does not
+// announce itself again, so they would be refused though another target has room.
 func TestRequestsDoNotWaitForDepartedTarget(t *testing.T) {
 	is := is.New(t)
 	p := &Placer{Region: "r", Zone: "z"}
--- a/core/placer/balancer_test.go
+++ b/core/placer/balancer_test.go
@@ -10,7 +10,7 @@
 	"chervilrail.example/core/gauger"
 )
 
-// overfillOne has instances answer for objects that all are at one target, which is told to be overfull while others are not.
+// overfillOne returns instances that own objects which are all at one target.
 func overfillOne(instances, objects int) (list []*Placer, overloaded string) {
 	specs := threeRegionSpecs()
 	overloaded = "most-0"
@@ -26,7 +26,8 @@
 	return list, overloaded
 }
 
-// balanceAll lets all instances balance for a time, while the crowded target's load stays as told, and counts what leaves.
+// balanceAll lets all instances balance for a time, while the overloaded target's reported load stays the same, and
+// counts the moves, and those of them that cross regions.
 func balanceAll(list []*Placer, overloaded string, load float64, span time.Duration) (moved, crossed int) {
 	now := start.Add(minStay)
 	for end := now.Add(span); now.Before(end); now = now.Add(balanceInterval) {
@@ -43,8 +44,8 @@
 	return moved, crossed
 }
 
-// Guards against requests that wait and are refused at a target with too many objects, for the rest of the day, beside
-// targets that idle.
+// Guards against requests that wait and are refused for the rest of the day at a target with too many objects, beside
+// idle targets.
 func TestOverfullTargetShedsObjects(t *testing.T) {
 	for _, instances := range []int{1, 10} {
 		t.Run(fmt.Sprint(instances), func(t *testing.T) {
@@ -52,13 +53,14 @@
 			list, overloaded := overfillOne(instances, 60/instances)
 			moved, crossed := balanceAll(list, overloaded, 2, shedPeriod)
 			t.Log("moved", moved)
-			is.True(moved >= 12 && moved <= 45) // 60 objects, half too many
+			is.True(moved >= 12 && moved <= 45) // 60 objects, half of them excess
 			is.Equal(crossed, 0)
 		})
 	}
 }
 
-// Guards against objects that run cold once more for nothing: at a target with room, and at one that all share.
+// Guards against objects that run cold once more without benefit: where the target has room, where it holds a single
+// object, and where all targets are equally busy.
 func TestObjectsStayWhereMovingDoesNotHelp(t *testing.T) {
 	is := is.New(t)
 	list, overloaded := overfillOne(1, 30)
@@ -81,7 +83,8 @@
 	})
 }
 
-// Guards against a question for every request, and against instances that hold to a place that another one has changed.
+// Guards against a request to the owner for every lookup, and against instances that keep an assignment that another
+// instance has changed.
 func TestReceivedAssignmentsAreUsed(t *testing.T) {
 	is := is.New(t)
 	p := newOwner("most", threeRegionSpecs(), 0, 2)
@@ -90,7 +93,7 @@
 	_, found := p.Lookup(start, object, nil)
 	is.True(!found)
 	p.RecordAssignment(start, object, "most-1", "view", 2)
-	p.RecordAssignment(start, object, "most-2", "view", 1) // late news
+	p.RecordAssignment(start, object, "most-2", "view", 1) // an outdated version
 	assignment, found := p.Lookup(start, object, nil)
 	is.True(found)
 	is.Equal(assignment.Target, "most-1")
@@ -99,7 +102,7 @@
 	p.RecordAssignment(start, object, "gone", "view", 3)
 	_, found = p.Lookup(start, object, nil)
 	is.True(!found)
-	t.Run("by the next one to answer", func(t *testing.T) {
+	t.Run("by the next owner", func(t *testing.T) {
 		is := is.New(t)
 		p.RecordAssignment(start, object, "most-3", "view", 7)
 		p.SetOwnership(func(uint64) bool { return true }, 0, 1)
@@ -113,18 +116,20 @@
 	})
 }
 
-// Guards against hundreds of objects that lose their target at once and are all given to the same few: in the half second
-// that news takes, no instance sees what the others choose.
+// Guards against hundreds of objects that lose their target at once and are all assigned to the same few: in the half
+// second that updates take to arrive, no instance sees what the others choose.
 func TestConcurrentAssignmentsSpreadOverTargets(t *testing.T) {
 	is := is.New(t)
 	var specs []Spec
 	for i := range 60 {
-		specs = append(specs, Spec{Name: fmt.Sprintf("t%02d", i), Incarnation: 1, Region: "r", Zone: "z", Slots: 3, OwnSlots: 1})
+		specs = append(specs, Spec{
+			Name: fmt.Sprintf("t%02d", i), Incarnation: 1, Region: "r", Zone: "z", Slots: 3, OwnSlots: 1,
+		})
 	}
 	counts := map[string]int{}
 	for i := range 60 {
 		p := newOwner("r", specs, i, 60)
-		for n := range 180 { // all but a few targets have three objects
+		for n := range 180 { // all targets but four have three or four objects
 			p.RecordAssignment(start, uint64(n), specs[4+n%56].Name, "view", 1)
 		}
 		for n := range 2 {
@@ -136,11 +141,11 @@
 		most = max(most, n)
 	}
 	t.Log("most", most)
-	is.True(most <= 20) // thirty each if all chose the four emptiest
+	is.True(most <= 20) // 30 each if all instances chose the four emptiest
 }
 
-// Guards against an entry instance that ends by itself: a plan takes away the regions that a route's objects are in, and
-// then a target joins.
+// Guards against a crash of an entry instance: a plan removes the regions that a route's objects are in, and then a
+// target joins. Such objects are left to the next request.
 func TestObjectsOutsideAllowedRegionsAreNotBalanced(t *testing.T) {
 	is := is.New(t)
 	specs := threeRegionSpecs()
--- a/core/placer/bench_test.go
+++ b/core/placer/bench_test.go
@@ -26,7 +26,9 @@
 		}
 		if d, decided := p.Offer(now, t); decided && d.Target != nil {
 			load := &messenger.Load{Running: 2, Slots: 6}
-			p.Done(now, d.Target, Outcome{ResponseTime: 100 * time.Millisecond, ExpectedTime: 100 * time.Millisecond, Load: load})
+			p.Done(now, d.Target, Outcome{
+				ResponseTime: 100 * time.Millisecond, ExpectedTime: 100 * time.Millisecond, Load: load,
+			})
 		}
 	}
 }
--- a/core/placer/candidates.go
+++ b/core/placer/candidates.go
@@ -54,8 +54,10 @@
 		if !p.eligible(now, target, request.Regions) {
 			continue
 		}
-		load := math.Floor(target.expectedLoad(now)/loadStep) * max(1, math.Floor(target.slowdown(now)/slowdownStep)*slowdownStep)
-		objects := (float64(p.assigner.objectCounts[target.Name][request.Route]) + objectOffset) / max(1, float64(target.Slots))
+		load := math.Floor(target.expectedLoad(now)/loadStep) *
+			max(1, math.Floor(target.slowdown(now)/slowdownStep)*slowdownStep)
+		objects := (float64(p.assigner.objectCounts[target.Name][request.Route]) + objectOffset) /
+			max(1, float64(target.Slots))
 		if load < leastLoad || load == leastLoad && objects < leastObjects {
 			best, leastLoad, leastObjects = target, load, objects
 		}
@@ -88,10 +90,13 @@
 
 // fillRatio is how many objects of a route a region has, and extra ones, relative to its share.
 func (p *Placer) fillRatio(region, route string, extra float64) float64 {
-	return (float64(p.ownedObjectsIn(region, route)) + extra + objectOffset) / max(minShare, p.assigner.regionShares[region])
+	return (float64(p.ownedObjectsIn(region, route)) + extra + objectOffset) /
+		max(minShare, p.assigner.regionShares[region])
 }
 
 // regionEligible reports whether a region has a target for an object.
 func (p *Placer) regionEligible(now time.Time, region string, request AssignRequest) bool {
-	return slices.ContainsFunc(p.hosts.byRegion[region], func(t *Target) bool { return p.eligible(now, t, request.Regions) })
+	return slices.ContainsFunc(p.hosts.byRegion[region], func(t *Target) bool {
+		return p.eligible(now, t, request.Regions)
+	})
 }
--- a/core/placer/overflow_test.go
+++ b/core/placer/overflow_test.go
@@ -13,7 +13,7 @@
 // fullLoad is how many requests a target of nine slots holds when it has no room for one more.
 const fullLoad = 11
 
-// peakPlacer is a region whose targets are full, next to one where a part of the slots is taken.
+// peakPlacer is a placer of a region whose targets are full, with other regions where a part of the slots is taken.
 type peakPlacer struct {
 	*Placer
 	now time.Time
@@ -22,15 +22,15 @@
 func newPeakPlacer() *peakPlacer {
 	specs := threeRegionSpecs()
 	for i := range specs {
-		specs[i].OwnSlots = 0 // all slots are other instances'
+		specs[i].OwnSlots = 0 // all slots belong to other instances
 	}
 	p := newOwner("most", specs, 0, 1)
-	w := &peakPlacer{p, start.Add(time.Minute)} // long after targets came
+	w := &peakPlacer{p, start.Add(time.Minute)} // long after the targets became known
 	w.reportLoads(fullLoad, 2)
 	return w
 }
 
-// reportLoads takes reports of all targets: what runs at those of the region, and at all others.
+// reportLoads takes reports of all targets: how many requests run at those of the region, and at all others.
 func (p *peakPlacer) reportLoads(home, other int32) {
 	for _, target := range p.targets {
 		running := other
@@ -50,13 +50,13 @@
 // offer offers a request for an object whose host is the first target of the region.
 func (p *peakPlacer) offer(object string, onTimeWithin time.Duration) (Decision, bool) {
 	return p.Offer(p.now, &Ticket{
-		Key: object, Host: "most-0", WarmTime: 250 * time.Millisecond, ColdTime: coldRun, SoftDeadline: p.now.Add(onTimeWithin),
-		Deadline: p.now.Add(4 * time.Second), Decided: make(chan Decision, 1),
+		Key: object, Host: "most-0", WarmTime: 250 * time.Millisecond, ColdTime: coldRun,
+		SoftDeadline: p.now.Add(onTimeWithin), Deadline: p.now.Add(4 * time.Second), Decided: make(chan Decision, 1),
 	})
 }
 
-// The host of an object is full, and a target in another region has most of its slots free. A request that would be late
-// at the host goes there instead of waiting until it is refused; those that follow find the object warm.
+// Guards against requests that wait for a full host until they are refused, though a target in another region has most
+// of its slots free. A request that would be late at the host overflows there; later ones find the object warm.
 func TestFullHostOverflows(t *testing.T) {
 	is := is.New(t)
 	p := newPeakPlacer()
@@ -69,7 +69,7 @@
 	is.Equal(second.Target, first.Target)
 	_, decided := p.offer("another", time.Second)
 	is.True(!decided) // on time at its host after a short wait
-	t.Run("and comes home when there is room", func(t *testing.T) {
+	t.Run("and returns to its host when there is room", func(t *testing.T) {
 		p.reportLoads(0, 2)
 		is.New(t).Equal(len(p.Tick(p.now)), 1)
 		decision, _ := p.offer("object", time.Second)
@@ -77,8 +77,8 @@
 	})
 }
 
-// Every region is nearly full. A request that runs cold elsewhere takes as long as three others there, and would
-// turn away two whose objects are warm.
+// Guards against cold overflow where every region is nearly full: such a run takes as long as three others, and would
+// displace two requests whose objects are warm.
 func TestNoColdOverflowWhenAllRegionsAreFull(t *testing.T) {
 	is := is.New(t)
 	p := newPeakPlacer()
@@ -87,20 +87,20 @@
 	is.True(!decided || decision.Target == nil)
 }
 
-// A cold run takes nearly all the time that a booking's route allows. Begun elsewhere, it would be cut off in the middle,
-// with its caller in doubt.
+// Guards against an overflow whose cold run takes nearly all the time that the route allows: it would be cut off at the
+// deadline, with the outcome of a booking unknown to the caller.
 func TestOverflowThatWouldExceedDeadlineIsNotStarted(t *testing.T) {
 	is := is.New(t)
 	p := newPeakPlacer()
 	decision, decided := p.Offer(p.now, &Ticket{
-		Key: "object", Host: "most-0", WarmTime: 250 * time.Millisecond, ColdTime: coldRun, SoftDeadline: p.now.Add(100 * time.Millisecond),
-		Deadline: p.now.Add(coldRun / 2), Decided: make(chan Decision, 1),
+		Key: "object", Host: "most-0", WarmTime: 250 * time.Millisecond, ColdTime: coldRun,
+		SoftDeadline: p.now.Add(100 * time.Millisecond), Deadline: p.now.Add(coldRun / 2), Decided: make(chan Decision, 1),
 	})
 	is.True(!decided || decision.Target == nil)
 }
 
-// All callers of a region come at once and all its targets are full. If all turned to another region in the same second,
-// they would swamp the links, which are planned for 15% in two seconds.
+// Guards against overloaded links between regions, which are planned for moves of 15% in two seconds: all targets of a
+// region are full, and all its requests would switch to another region in the same second.
 func TestOverflowAcrossRegionsIsLimited(t *testing.T) {
 	is := is.New(t)
 	p := newPeakPlacer()
@@ -121,8 +121,9 @@
 	is.True(crossed <= requests*15/100)
 }
 
-// Objects have one host each, and region after region has its peak: some hosts are asked for more than they have slots
-// while others are half empty. Left to wait for their hosts, a tenth of the requests would be refused beside idle targets.
+// Guards against requests that only wait for their hosts during a peak. Objects have one host each and the regions peak
+// one after the other, so some hosts are overloaded while others are half empty; a tenth of the requests would be
+// refused beside idle targets.
 func TestRequestsOverflowDuringPeak(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
--- a/core/placer/placer_test.go
+++ b/core/placer/placer_test.go
@@ -28,8 +28,8 @@
 	}
 }
 
-// No target is left that may take the request: none announced itself, all have been tried, or all are in regions that
-// the route forbids. Held until its deadline, its caller could not turn elsewhere.
+// Guards against requests that wait until their deadline though no target may take them: none announced itself, all
+// have been tried, or all are in regions that the route does not allow. The caller could not turn elsewhere in time.
 func TestRequestWithoutEligibleTargetIsRefusedAtOnce(t *testing.T) {
 	tried, restricted := ticket(0), ticket(0)
 	tried.Tried = []string{"a"}
@@ -52,7 +52,7 @@
 	}
 }
 
-// The only slot is taken and two requests wait. The more urgent one came later and goes first.
+// The only slot is taken and two requests wait. The more urgent one arrived later and must be placed first.
 func TestMoreUrgentRequestIsPlacedFirst(t *testing.T) {
 	is := is.New(t)
 	p := newPlacer(spec("a"))
@@ -67,7 +67,8 @@
 	is.Equal(placed[0].Ticket, urgent)
 }
 
-// A target has just started. Sent all that its slots could take, it would crash; it gets its rate and no more.
+// Guards against a crash of a target that has just started, by as many requests as its slots could take: it may get no
+// more than its rate.
 func TestColdTargetIsRateLimited(t *testing.T) {
 	is := is.New(t)
 	cold := spec("a")
@@ -82,10 +83,11 @@
 			sent++
 		}
 	}
-	is.True(sent > 0 && sent <= 15) // three seconds at five a second
+	is.True(sent > 0 && sent <= 15) // three seconds at five per second
 }
 
-// A target can't be reached. It is left alone for longer and longer, and the other one takes over at once.
+// Guards against more requests to a target that can't be reached: it is ejected and the other target takes over at
+// once.
 func TestUnreachableTargetIsEjected(t *testing.T) {
 	is := is.New(t)
 	p := newPlacer(spec("a"), spec("b"))
@@ -98,8 +100,8 @@
 	}
 }
 
-// The day begins with all targets cold, and their queues make answers take many times as long as usual. That is load,
-// not a failure: taken for one, it would let a region's instances all turn to another region in the same second.
+// Guards against load that is taken for a failure. When all targets are cold, their queues make answers take many times
+// as long as usual; a failure would let all instances of a region switch to another region in the same second.
 func TestSlowTargetsDoNotLiftRegionLimit(t *testing.T) {
 	is := is.New(t)
 	home, away := spec("a"), spec("b")
@@ -115,8 +117,8 @@
 	is.True(!start.Before(p.regionSplit.unlimitedUntil))
 }
 
-// Free slots are few, and the target that keeps a request's object warm has just turned it away. Kept for that target
-// alone, the request would wait in vain and be refused, though another one could run it.
+// Guards against requests that wait in vain and are refused though another target could run them: free slots are few,
+// and the host of the request's object has just rejected the request.
 func TestRequestRejectedByItsHostGoesElsewhere(t *testing.T) {
 	is := is.New(t)
 	p := newPlacer(spec("a"), spec("b"), spec("c"))
@@ -132,9 +134,9 @@
 	is.True(decided && decision.Target != nil)
 }
 
-// For some seconds hardly any request was placed, because targets were down. They are back and have room; a request that
-// meets a full one for a moment waits for it. Judged by the slow spell, it would be refused at once, and so would all
-// that come after it.
+// Guards against a wait estimate that stays high after a slow period. For some seconds hardly any request was placed
+// because targets were down. When they are back, a request that meets a full target must wait for it; by the slow
+// period's rate it would be refused at once, and so would all later ones.
 func TestWaitEstimateRecoversAfterSlowPeriod(t *testing.T) {
 	is := is.New(t)
 	p := newPlacer(spec("a"))
@@ -157,8 +159,8 @@
 	}
 	p.queue = nil
 	decision, decided := p.Offer(now, at(800*time.Millisecond))
-	is.True(decided && decision.Target == nil) // still slow
+	is.True(decided && decision.Target == nil) // the estimate is still high
 	now = now.Add(10 * time.Second)
 	_, decided = p.Offer(now, at(800*time.Millisecond))
-	is.True(!decided) // over
+	is.True(!decided) // the estimate has recovered
 }
--- a/core/placer/scenarios_test.go
+++ b/core/placer/scenarios_test.go
@@ -10,8 +10,8 @@
 	"github.com/matryer/is"
 )
 
-// peakWorld is a service whose callers ask for a quarter more than its slots when nothing is warm, with a tenth of
-// the targets in a region that has a third of the callers.
+// peakWorld is a service whose callers ask for a quarter more than its slots when nothing is warm, with a tenth of the
+// targets in a region that has a third of the callers.
 func peakWorld() world {
 	return world{
 		targets: map[string]int{"one": 10, "two": 2, "three": 8}, entries: 3, cacheSize: 42, warmFraction: 0.3,
@@ -22,11 +22,12 @@
 	}
 }
 
-// manyInstancesWorld is the same service after ten more clubs have joined: many small entry instances, each of which sees
-// little of what a target does, and objects that only the callers of one region ask for.
+// manyInstancesWorld is the same service after ten more clubs have joined: many small entry instances, each of which
+// sees little of what a target does, and objects that only the callers of one region ask for.
 func manyInstancesWorld() world {
 	return world{
-		targets: map[string]int{"one": 102, "two": 20, "three": 84}, entries: 27, cacheSize: 22, warmFraction: 0.25, separateObjects: true,
+		targets: map[string]int{"one": 102, "two": 20, "three": 84}, entries: 27, cacheSize: 22, warmFraction: 0.25,
+		separateObjects: true,
 		kinds: []kind{
 			{"browse", 1042, 576 * time.Millisecond, 400 * time.Millisecond, 2500 * time.Millisecond, 2, 241, 1},
 			{"pay", 579, 720 * time.Millisecond, 500 * time.Millisecond, 3000 * time.Millisecond, 1, 134, 1},
@@ -35,8 +36,8 @@
 }
 
 // Callers peak region after region and ask for more than there would be slots for if nothing were warm. The naive
-// way, which looks at load alone, has half of the requests late; placed by object most are on time, and nearly none
-// is refused.
+// placement, which considers load alone, has half of the requests late; placed by object most must be on time, and
+// nearly none refused.
 func TestPlacementByObjectDuringPeaks(t *testing.T) {
 	w := peakWorld()
 	for seed := uint64(1); seed <= 3; seed++ {
@@ -60,9 +61,9 @@
 	}
 }
 
-// A region with few callers sends some more requests to one region now and some more to another two seconds later, by
-// chance alone. Left to itself, that adds up to a move of a fifth of its requests at once, which the links between
-// regions are not planned for.
+// Guards against moves between regions that add up from random variation: a region with few callers sends some more
+// requests to one region now and some more to another two seconds later. Without a limit, a fifth of its requests move
+// at once, which the links between regions are not planned for.
 func TestRandomVariationDoesNotShiftRegions(t *testing.T) {
 	for _, load := range []float64{0.8, 1, 1.4} {
 		t.Run(fmt.Sprint(load), func(t *testing.T) {
@@ -86,8 +87,8 @@
 
 // Two and a half times as many callers come at once. Not all can be served; the more urgent kind must not be served
 // worse than the less urgent one, and slots must not go to runs that start cold or end late. Without the rules for
-// scarce slots, 0.41 of browse and 0.60 of pay are on time here; without the bound on what moves between regions, 0.65
-// and 0.88.
+// scarce slots, 0.41 of browse and 0.60 of pay are on time here; without the limit on moves between regions, 0.65 and
+// 0.88.
 func TestOverloadKeepsUrgentRequests(t *testing.T) {
 	w := peakWorld()
 	for i := range w.kinds {
@@ -103,16 +104,19 @@
 	is.True(browse.fraction(browse.onTime) > 0.5)
 }
 
-// coldStartWorld asks for half of the slots if objects are warm and for more than all of them if they are not; all begin cold.
+// coldStartWorld asks for half of the slots if objects are warm and for more than all of them if they are not; all
+// objects start cold.
 func coldStartWorld() world {
 	return world{
-		targets: map[string]int{"one": 18, "two": 6, "three": 18}, entries: 4, cacheSize: 13, warmFraction: 0.3, separateObjects: true,
+		targets: map[string]int{"one": 18, "two": 6, "three": 18}, entries: 4, cacheSize: 13, warmFraction: 0.3,
+		separateObjects: true,
 		kinds: []kind{{"view", 223, 880 * time.Millisecond, 600 * time.Millisecond, 4 * time.Second, 2, 44, 1}},
 	}
 }
 
-// All objects begin cold, and run cold for more than all slots. One instance answers for each object, so that it runs cold
-// once and not beside itself: most requests are on time once the first runs are over, for as long as the load lasts.
+// Guards against a cold state that does not end. All objects start cold, and cold runs of all requests need more than
+// all slots. One instance owns each object, so that it runs cold once and not several times at the same time; most
+// requests must be on time after the first runs, for as long as the load lasts.
 func TestAssignedHostsLeaveColdState(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -131,9 +135,9 @@
 	}
 }
 
-// Objects have their places in several regions, and by chance callers ask more for those of one region now and more for
-// those of another two seconds later, while some objects leave a crowded region. More requests than the links between
-// regions are planned for change the region they run in at once.
+// Guards against more requests that change the region they run in at once than the links between regions are planned
+// for. Objects have hosts in several regions, and by random variation callers ask more for those of one region now and
+// more for those of another two seconds later, while some objects leave an overloaded region.
 func TestRandomVariationDoesNotShiftRegionsWithAssignedHosts(t *testing.T) {
 	for _, load := range []float64{0.8, 1, 1.4} {
 		t.Run(fmt.Sprint(load), func(t *testing.T) {
@@ -152,10 +156,10 @@
 	}
 }
 
-// Many small entry instances share the targets, and each hears of a target only every few seconds, with an answer. Taken
-// for empty in between, all targets would get more than their slots: callers would wait in queues where nobody can be
-// overtaken. With that, and with a host for each object in every region, 0.80 of browse and 0.81 of pay are on time here,
-// and 0.72 and 0.74 with a third more callers.
+// Guards against targets that count as empty between reports. Many small entry instances share the targets, and each
+// receives a report of a target only every few seconds, with an answer. All targets would get more than their slots,
+// and requests would wait in queues where none can be overtaken. With that, and with a host for each object in every
+// region, 0.80 of browse and 0.81 of pay are on time here, and 0.72 and 0.74 with a third more callers.
 func TestManyInstancesWithRareReports(t *testing.T) {
 	cases := map[string]struct {
 		load        float64
@@ -184,10 +188,11 @@
 }
 
 // largeWorld is a service with sixty entry instances in each region, of which each sees one request of an object in
-// sixty, and targets of three slots. Some objects are asked for more than others. Warm, they ask for a third of the slots.
+// sixty, and targets of three slots. Some objects are asked for more than others. Warm, they need a third of the slots.
 func largeWorld() world {
 	return world{
-		targets: map[string]int{"one": 80, "two": 80, "three": 80}, entries: 60, cacheSize: 22, warmFraction: 0.3, separateObjects: true, assignHosts: true,
+		targets: map[string]int{"one": 80, "two": 80, "three": 80}, entries: 60, cacheSize: 22, warmFraction: 0.3,
+		separateObjects: true, assignHosts: true,
 		kinds: []kind{
 			{"browse", 330, 1248 * time.Millisecond, 800 * time.Millisecond, 5 * time.Second, 2, 110, 1.5},
 			{"pay", 185, 1632 * time.Millisecond, time.Second, 6 * time.Second, 1, 60, 1.5},
@@ -195,7 +200,7 @@
 	}
 }
 
-// withdrawTargets takes a part of every region's targets out for a while.
+// withdrawTargets removes a part of every region's targets for a while.
 func (r *simulation) withdrawTargets(fraction float64, from, until time.Duration) {
 	all := slices.Clone(r.specs)
 	kept := slices.DeleteFunc(slices.Clone(all), func(s Spec) bool {
@@ -205,8 +210,9 @@
 	r.after(until, func() { r.specs = all; r.updateTargets(r.now) })
 }
 
-// Guards against targets that hold three times their slots for the rest of a day while others idle: no instance sees what
-// the others gave to a target, and once a loss has thrown objects together they never part again.
+// Guards against targets that hold three times their slots for the rest of a day while others idle: without shared
+// loads no instance sees what the others assign to a target, and objects that a loss of targets has put together stay
+// together.
 func TestLoadIsBalancedAtScale(t *testing.T) {
 	w := largeWorld()
 	for i := range w.kinds {
@@ -223,12 +229,13 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			is := is.New(t)
 			informed, isolated := simulate(seed, false), simulate(seed, true)
-			t.Logf("load per slot p90 %.2f p99 %.2f, unheard p90 %.2f p99 %.2f, worst shift %.3f", informed.loadPercentile(0.9),
-				informed.loadPercentile(0.99), isolated.loadPercentile(0.9), isolated.loadPercentile(0.99), informed.worstShift())
+			t.Logf("load per slot p90 %.2f p99 %.2f, isolated p90 %.2f p99 %.2f, worst shift %.3f",
+				informed.loadPercentile(0.9), informed.loadPercentile(0.99), isolated.loadPercentile(0.9), isolated.loadPercentile(0.99),
+				informed.worstShift())
 			is.True(informed.worstShift() < 0.15)
 			for _, k := range w.kinds {
 				a, b := informed.tallies[k.name], isolated.tallies[k.name]
-				t.Logf("%s: on time %.3f, unheard %.3f; refused %.3f, unheard %.3f", k.name,
+				t.Logf("%s: on time %.3f, isolated %.3f; refused %.3f, isolated %.3f", k.name,
 					a.fraction(a.onTime), b.fraction(b.onTime), a.fraction(a.refused), b.fraction(b.refused))
 				is.True(a.fraction(a.onTime) > 1.08*b.fraction(b.onTime))
 				is.True(a.fraction(a.refused) < b.fraction(b.refused))
--- a/core/placer/simulation_test.go
+++ b/core/placer/simulation_test.go
@@ -15,8 +15,8 @@
 	"chervilrail.example/core/partitioner"
 )
 
-// simulation is a small world in logical time: targets that work faster on objects they handled lately, several entry
-// instances a region, and callers whose load rises and falls, region after region.
+// simulation is a small model in logical time: targets that work faster on objects they handled recently, several entry
+// instances per region, and callers whose load rises and falls, region after region.
 type simulation struct {
 	random  *rand.Rand
 	now     time.Time
@@ -25,22 +25,22 @@
 	specs   []Spec
 	entries []*instance
 	kinds   []kind
-	// naive places with the emptier of two random targets, and serves in order of arrival.
+	// naive places each request at the emptier of two random targets, in order of arrival.
 	naive   bool
 	world   world
 	tallies map[string]*tally
 	start   time.Time
 	span    time.Duration
-	// regionLoads are the regions' pictures of the targets' loads, told what of them was passed on.
+	// regionLoads are the regions' measured loads of the targets, published how much of them was passed on.
 	regionLoads map[string]*gauger.Gauge
 	published   map[string]uint64
-	// loadSamples holds the requests per slot of every target, sampled while the load lasts.
+	// loadSamples holds the requests per slot of every target, sampled in the second half of the load.
 	loadSamples []float64
-	// flows counts requests by two seconds, the region they came from and the region they ran in.
+	// flows counts requests by window of two seconds, the region they came from and the region they ran in.
 	flows map[int]map[string]map[string]int
 }
 
-// recordFlow notes where a request runs.
+// recordFlow counts the region in which a request runs.
 func (r *simulation) recordFlow(from, to string) {
 	window := int(r.now.Sub(r.start) / shiftWindow)
 	if r.flows[window] == nil {
@@ -54,13 +54,13 @@
 
 const shiftWindow = 2 * time.Second
 
-// worstShift is the largest part of one region's requests that changed the region they ran in, from one window to
-// the next.
+// worstShift is the largest part of one region's requests that changed the region they ran in, from one window to the
+// next.
 func (r *simulation) worstShift() float64 {
 	worst := 0.0
 	for window, flows := range r.flows {
 		if time.Duration(window+2)*shiftWindow > r.span {
-			continue // the last callers only wait for their answers
+			continue // no requests arrive any more, only answers
 		}
 		for from, now := range flows {
 			worst = max(worst, shiftBetween(r.flows[window+1][from], now))
@@ -69,6 +69,8 @@
 	return worst
 }
 
+// shiftBetween is the part of the requests that changed the region they ran in between two windows, zero if either has
+// fewer than 50.
 func shiftBetween(next, now map[string]int) float64 {
 	a, b := 0, 0
 	for _, n := range now {
@@ -95,7 +97,7 @@
 	deadline     time.Duration
 	priority     int32
 	objects      int
-	// skew above 1 has callers ask for the first objects more than for the last ones.
+	// skew above 1 has callers ask for the first objects more often than for the last ones.
 	skew float64
 }
 
@@ -120,18 +122,19 @@
 	callerLatency      = 8 * time.Millisecond
 )
 
-// world is what a replay is made of.
+// world is the configuration of a simulation.
 type world struct {
-	// targets are how many each region has, entries how many entry instances.
+	// targets is the number of targets of each region, entries the number of entry instances of a region.
 	targets map[string]int
 	entries int
 	kinds   []kind
-	// cacheSize is how many objects a target cacheSize warm, warm the part of the work that is left then.
+	// cacheSize is how many objects a target keeps warm, warmFraction the part of the work that is left for those.
 	cacheSize    int
 	warmFraction float64
 	// separateObjects: the callers of each region have objects of their own.
 	separateObjects bool
-	// assignHosts: one entry instance of a region answers for each object; deaf: the others hear nothing from it but answers.
+	// assignHosts: one entry instance of a region owns each object; isolated: the others receive nothing from it but
+	// answers.
 	assignHosts bool
 	isolated    bool
 }
@@ -155,7 +158,8 @@
 
 func (r *simulation) after(d time.Duration, do func()) { heap.Push(&r.events, event{r.now.Add(d), do}) }
 
-// newSimulation builds a service of three regions whose targets are spread unevenly, as they are where the load is worst.
+// newSimulation builds a service of three regions whose targets are spread unevenly, as they are where the load is
+// worst.
 func newSimulation(seed uint64, naive bool, w world) *simulation {
 	r := &simulation{
 		random: rand.New(rand.NewPCG(seed, 1)), now: time.Unix(1000, 0), targets: map[string]*simulatedTarget{},
@@ -184,7 +188,7 @@
 	return r
 }
 
-// updateTargets gives the targets' slots to the entry instances, as the watcher does.
+// updateTargets partitions the targets' slots among the entry instances, as the watcher does.
 func (r *simulation) updateTargets(at time.Time) {
 	var instances []partitioner.Instance
 	for _, e := range r.entries {
@@ -271,7 +275,7 @@
 	r.awaitDecision(e, k, t, done)
 }
 
-// ownerOf returns the entry instance of a region that answers for an object.
+// ownerOf returns the entry instance that owns an object.
 func ownerOf(object uint64, instances []*instance) *instance {
 	var best *instance
 	most := uint64(0)
@@ -288,12 +292,14 @@
 	return r.entries[at : at+r.world.entries]
 }
 
-// locate finds where a request should go, by asking the instance that answers for the object if need be.
+// locate finds where a request should go, and asks the owner of the object if need be.
 func (r *simulation) locate(e *instance, k kind, t *Ticket) {
 	object := ObjectHash(t.Key)
 	assignment, ok := e.placer.Lookup(r.now, object, nil)
 	if !ok {
-		assignment = ownerOf(object, r.instancesIn(e.region)).placer.Assign(r.now, AssignRequest{Object: t.Key, Route: k.name, ColdTime: t.ColdTime})
+		assignment = ownerOf(object, r.instancesIn(e.region)).placer.Assign(r.now, AssignRequest{
+			Object: t.Key, Route: k.name, ColdTime: t.ColdTime,
+		})
 	}
 	if assignment.Changed {
 		r.publishAssignment(e.region, object, assignment)
@@ -301,7 +307,7 @@
 	t.Host, t.WarmAt, t.FirstRun = assignment.Target, assignment.WarmAt, assignment.FirstRun
 }
 
-// publishAssignment tells all instances of a region about a place, as the controllers do.
+// publishAssignment sends an assignment to all instances of a region, as the controllers do.
 func (r *simulation) publishAssignment(region string, object uint64, assignment Assignment) {
 	if r.world.isolated {
 		return
@@ -314,12 +320,13 @@
 }
 
 const (
-	// publishDelay is what news takes from one instance to the others, hearEvery how often loads are told.
+	// publishDelay is how long an assignment takes to reach the other instances, publishInterval how often loads are
+	// published.
 	publishDelay    = 500 * time.Millisecond
 	publishInterval = time.Second
 )
 
-// exchange has instances balance their objects and hear of the targets' loads for as long as the load lasts.
+// exchange has instances balance their objects and receive the targets' loads for as long as the load lasts.
 func (r *simulation) exchange(start time.Time) {
 	if r.now.Sub(start) > r.span {
 		return
@@ -336,7 +343,7 @@
 	r.after(balanceInterval, func() { r.exchange(start) })
 }
 
-// publishLoads tells the targets' loads.
+// publishLoads sends the changed loads of the targets to the instances of their region.
 func (r *simulation) publishLoads() {
 	for region, g := range r.regionLoads {
 		readings := g.Since(r.published[region])
@@ -349,7 +356,7 @@
 	}
 }
 
-// sampleLoads notes how busy the targets are, in the second half.
+// sampleLoads records the loads of the targets in the second half of the load.
 func (r *simulation) sampleLoads(start time.Time) {
 	if r.now.Sub(start) < r.span/2 {
 		return
@@ -359,13 +366,13 @@
 	}
 }
 
-// loadPercentile returns the load that a part of the targets stays below.
+// loadPercentile returns the load that a part of the samples stays below.
 func (r *simulation) loadPercentile(part float64) float64 {
 	slices.Sort(r.loadSamples)
 	return r.loadSamples[int(part*float64(len(r.loadSamples)-1))]
 }
 
-// awaitDecision looks after a waiting ticket as the tick of an entry instance does.
+// awaitDecision polls for the decision on a waiting ticket, as the tick of an entry instance does.
 func (r *simulation) awaitDecision(e *instance, k kind, t *Ticket, done func(Decision)) {
 	r.after(10*time.Millisecond, func() {
 		e.placer.deliver(r.now)
@@ -417,7 +424,7 @@
 			held := float64(max(0, load.Running+load.Waiting-1)) / float64(load.Slots)
 			r.regionLoads[e.region].See(r.now, []gauger.Reading{{Target: gauger.Key(target.Name), PerSlot: held}}, true)
 			if ran {
-				// The time that an entry instance sees holds the wait at the target.
+				// The time that an entry instance measures includes the wait at the target.
 				outcome.ResponseTime = r.now.Sub(sent) - 2*latency
 			}
 			for _, placed := range e.placer.Done(r.now, target, outcome) {
@@ -476,7 +483,7 @@
 	return messenger.Load{Running: w.running, Waiting: int32(len(w.waiting)), Slots: w.spec.Slots}
 }
 
-// touch reports whether the object was warm, and makes it the newest.
+// touch reports whether the object was warm, and makes it the most recently used one.
 func (w *simulatedTarget) touch(key string, size int) bool {
 	for i, k := range w.warm {
 		if k == key {
--- a/core/placer/split_test.go
+++ b/core/placer/split_test.go
@@ -27,9 +27,9 @@
 	is.New(t).True(math.Abs(p.regionSplit.shares[region]-want) < 0.01)
 }
 
-// Before the first callers come, targets announce themselves one after the other. An entry instance of a region with
-// few targets must not take its shares from the first ones it hears of: its region would count as roomy, and its first
-// callers would wait for seconds where there are no free slots while others idle.
+// Guards against initial shares taken from the first targets that announce themselves. In a region with few targets,
+// the home region would seem to have room, and its first requests would wait for seconds while other regions' slots are
+// free.
 func TestSharesFollowSlotsUntilFirstRequest(t *testing.T) {
 	all := unevenSpecs()
 	first := []Spec{}
@@ -50,8 +50,9 @@
 	})
 }
 
-// The home region was so full that all its requests moved away. Nothing is heard of its targets then, and what was heard
-// last must not keep the requests away when it has long been empty: each would go on to pay for the way to another region.
+// Guards against requests that stay away from a home region that was so full that all of them moved away. No reports of
+// its targets arrive from then on, and the last ones must not keep the requests away once it has long been empty: each
+// request would go on paying for the way to another region.
 func TestRequestsReturnToHomeRegion(t *testing.T) {
 	is := is.New(t)
 	p := &Placer{Region: "few", Zone: "few"}
--- a/core/placer/withdrawn_test.go
+++ b/core/placer/withdrawn_test.go
@@ -7,7 +7,8 @@
 	"github.com/matryer/is"
 )
 
-// Guards against requests to withdrawn targets that nobody looks after: Update must name the targets that hold some.
+// Guards against requests at withdrawn targets that nothing follows up: Update must return the withdrawn targets at
+// which requests are in flight.
 func TestUpdateReturnsWithdrawnTargetsInUse(t *testing.T) {
 	cases := map[string]struct {
 		change    func(specs []Spec) []Spec
