--- a/core/placer/placer.go
+++ b/core/placer/placer.go
@@ -10,9 +10,9 @@
 // that can still be answered on time, the most urgent first.
 //
 // The files: choice finds the target of a request, queue orders the waiting requests, assigner assigns objects to their
-// hosts, candidates finds the targets for them, hosts selects hosts by hash for requests whose host is not known,
+// hosts, room finds the targets with room for them, hosts selects hosts by hash for requests whose host is not known,
 // chance estimates how likely those are warm, balancer moves objects away from overloaded targets, overflow finds a
-// target for requests whose host is full, others estimates the load by other instances' requests, split limits how fast
+// target for requests whose host is full, crowd estimates the load by other instances' requests, spread limits how fast
 // the shares of requests that go to each region change, target holds the state of one target.
 package placer
 
