--- a/core/partitioner/partitioner_test.go
+++ b/core/partitioner/partitioner_test.go
@@ -7,23 +7,23 @@
 	"github.com/matryer/is"
 )
 
-func setup(instances, targets int, slots int32) ([]Instance, []Target) {
+func setup(instances, targetCount int, slots int32) ([]Instance, []Target) {
 	var in []Instance
 	for i := range instances {
 		in = append(in, Instance{fmt.Sprint("e", i), fmt.Sprint("r", i%3)})
 	}
-	var up []Target
-	for i := range targets {
-		up = append(up, Target{fmt.Sprint("u", i), fmt.Sprint("r", i%3), slots})
+	var targets []Target
+	for i := range targetCount {
+		targets = append(targets, Target{fmt.Sprint("u", i), fmt.Sprint("r", i%3), slots})
 	}
-	return in, up
+	return in, targets
 }
 
 // totals adds up what all instances own at each target.
-func totals(in []Instance, up []Target) []int32 {
-	out := make([]int32, len(up))
+func totals(in []Instance, targets []Target) []int32 {
+	out := make([]int32, len(targets))
 	for _, i := range in {
-		for u, n := range Partition(i.Name, NewMembers(in), up) {
+		for u, n := range Partition(i.Name, NewMembers(in), targets) {
 			out[u] += n
 		}
 	}
@@ -33,11 +33,11 @@
 // Guards against instances that send more requests to some targets than those have slots, while others idle, because
 // each chooses without knowledge of the others' choices.
 func TestEverySlotHasOneOwner(t *testing.T) {
-	for _, c := range []struct{ instances, targets int }{{12, 20}, {8, 12}, {3, 30}, {12, 12}} {
+	for _, c := range []struct{ instances, targetCount int }{{12, 20}, {8, 12}, {3, 30}, {12, 12}} {
 		t.Run(fmt.Sprint(c), func(t *testing.T) {
 			is := is.New(t)
-			in, up := setup(c.instances, c.targets, 3)
-			for _, n := range totals(in, up) {
+			in, targets := setup(c.instances, c.targetCount, 3)
+			for _, n := range totals(in, targets) {
 				is.Equal(n, int32(3))
 			}
 		})
@@ -46,12 +46,12 @@
 
 func TestSharesAreEven(t *testing.T) {
 	is := is.New(t)
-	in, up := setup(12, 21, 3)
+	in, targets := setup(12, 21, 3)
 	for _, i := range in {
 		own := int32(0)
-		for u, n := range Partition(i.Name, NewMembers(in), up) {
+		for u, n := range Partition(i.Name, NewMembers(in), targets) {
 			own += n
-			is.True(n == 0 || up[u].Region == i.Region) // only in its own region
+			is.True(n == 0 || targets[u].Region == i.Region) // only in its own region
 		}
 		is.True(own == 5 || own == 6)
 	}
@@ -59,10 +59,10 @@
 
 func TestEveryInstanceHasASlot(t *testing.T) {
 	is := is.New(t)
-	in, up := setup(12, 3, 1)
+	in, targets := setup(12, 3, 1)
 	for _, i := range in {
 		own := int32(0)
-		for _, n := range Partition(i.Name, NewMembers(in), up) {
+		for _, n := range Partition(i.Name, NewMembers(in), targets) {
 			own += n
 		}
 		is.Equal(own, int32(1))
@@ -71,9 +71,9 @@
 
 func TestRegionWithoutInstancesIsShared(t *testing.T) {
 	is := is.New(t)
-	in, up := setup(2, 6, 3)
-	for _, n := range totals(in, up) {
+	in, targets := setup(2, 6, 3)
+	for _, n := range totals(in, targets) {
 		is.Equal(n, int32(3))
 	}
-	is.Equal(Partition("stranger", NewMembers(in), up), make([]int32, 6))
+	is.Equal(Partition("stranger", NewMembers(in), targets), make([]int32, 6))
 }
--- a/core/placer/placer.go
+++ b/core/placer/placer.go
@@ -40,7 +40,7 @@
 type Ticket struct {
 	// Key names the requested object, or is empty.
 	Key string
-	// CallerPriority is the caller's own priority. It takes precedence over Priority, that of the requested operation.
+	// CallerPriority is the caller's own priority. It takes precedence over Priority, that of the route.
 	// In both, 0 is the most urgent.
 	CallerPriority int32
 	Priority       int32
--- a/core/placer/scenarios_test.go
+++ b/core/placer/scenarios_test.go
@@ -110,7 +110,7 @@
 	return world{
 		targets: map[string]int{"one": 18, "two": 6, "three": 18}, entries: 4, cacheSize: 13, warmFraction: 0.3,
 		separateObjects: true,
-		kinds: []kind{{"view", 223, 880 * time.Millisecond, 600 * time.Millisecond, 4 * time.Second, 2, 44, 1}},
+		kinds:           []kind{{"view", 223, 880 * time.Millisecond, 600 * time.Millisecond, 4 * time.Second, 2, 44, 1}},
 	}
 }
 
--- a/core/placer/simulation_test.go
+++ b/core/placer/simulation_test.go
@@ -31,7 +31,8 @@
 	tallies map[string]*tally
 	start   time.Time
 	span    time.Duration
-	// regionLoads are the regions' measured loads of the targets, published how much of them was passed on.
+	// regionLoads are the measured loads of the targets by region, published the gauges' counters at the last
+	// publication.
 	regionLoads map[string]*gauger.Gauge
 	published   map[string]uint64
 	// loadSamples holds the requests per slot of every target, sampled in the second half of the load.
