--- a/core/placer/assigner.go
+++ b/core/placer/assigner.go
@@ -7,126 +7,133 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// announceTime is in which the targets that are there announce themselves to a system that has just started.
-const announceTime = 2 * time.Second
+// announcePeriod is the time within which existing targets announce themselves to a system that has just started.
+const announcePeriod = 2 * time.Second
 
-// AssignRequest is the question where a request should go, put to the instance that answers for its object.
+// AssignRequest asks for the target of an object. It is sent to the instance that owns the object.
 type AssignRequest struct {
 	Object string
-	// Route is what the object is of; objects of one route ask for about the same work.
+	// Route is the route that the object belongs to; objects of one route need about the same work.
 	Route string
-	// Hint is the target where the asker last saw the object, or empty.
+	// Hint is the target at which the requester last saw the object, or empty.
 	Hint string
-	// ColdTime is what a run of the object at a target that does not have it warm is expected to take.
+	// ColdTime is the expected service time of the object at a target that does not have it warm.
 	ColdTime time.Duration
-	// Regions that may serve the request; empty allows all.
+	// Regions are those that may serve the request; empty allows all.
 	Regions []string
 }
 
-// Assignment is the answer to an Ask.
+// Assignment is the answer to an AssignRequest.
 type Assignment struct {
 	// Target is empty if none may be used.
 	Target string
-	// Route is what the object is of, Version grows with each move of it.
+	// Route is the route that the object belongs to; Version grows with each move of the object.
 	Route   string
 	Version uint64
-	// WarmAt is when the object's first run there is expected to have ended, zero if it is warm or if the asker is to
-	// make that run.
+	// WarmAt is when the object's first run at the target is expected to end, zero if it is warm or if the requester is
+	// to make that run.
 	WarmAt time.Time
 	// Reason is a single word for logs: known, hint, new, joined, region, crowded or awaited.
 	Reason string
 	// FirstRun is set for the request that makes the object's first run at the target.
 	FirstRun bool
-	// Changed is set when the object's place changed, or was not known to this instance.
+	// Changed is set when the object's target changed, or was not known to this instance.
 	Changed bool
 }
 
-// assigner keeps the targets of objects: of those for which this instance answers, and, as others tell, of all that the
-// region's instances use. It answers the load in which most targets run objects cold: instances that each choose by what
-// they know of the targets' load disagree about an object, so it runs cold at several targets, one after the other and
-// beside each other, until the slots are full of such runs. One instance that answers for an object starts it cold once;
-// it knows what all have given to a target, so that targets come out even; and the others need not ask again.
+// assigner keeps the targets of objects: of those that this instance owns, and, as received from others, of all that
+// the region's instances use. It is made for a load at which most targets run objects cold: if each instance chose by
+// its own view of the targets' load, instances would disagree about an object, and it would run cold at several
+// targets, one after the other and at the same time, until the slots are full of such runs. With one owner an object
+// runs cold once; the owner has the counts of the objects of all instances at each target, so that targets get even
+// numbers; and other instances need not ask again.
 type assigner struct {
-	objects map[uint64]*assigned
-	// counts are how many objects of each route a target has, by its name, and all of them under the empty route.
-	counts map[string]map[string]int
-	// owns tells which objects this instance answers for, own are those of them that are known.
-	owns func(object uint64) bool
-	own  map[uint64]*assigned
-	// parts are the parts of the objects that go to each region, by its slots.
-	parts map[string]float64
-	// offset is where this instance begins among equal targets. All instances would else fill the same ones first.
+	objects map[uint64]*assignedObject
+	// objectCounts holds how many objects of each route a target has, by its name, with all objects under the empty
+	// route.
+	objectCounts map[string]map[string]int
+	// owns reports whether this instance owns an object; owned are the known ones of those.
+	owns  func(object uint64) bool
+	owned map[uint64]*assignedObject
+	// regionShares are the parts of the objects that go to each region, by its slots.
+	regionShares map[string]float64
+	// offset, from 0 to 1, is where this instance starts among equal targets. Otherwise all instances would fill the
+	// same ones first.
 	offset float64
-	// of is how many instances of the region answer for objects.
-	of int
-	// newest is when the last target became ready for objects.
-	newest time.Time
-	// moveAt is when the next object may follow a joined target, crossAt when the next one may go to another region.
-	moveAt  time.Time
-	crossAt time.Time
+	// ownerCount is how many instances of the region own objects.
+	ownerCount int
+	// newestReadyAt is when the last target became ready for objects.
+	newestReadyAt time.Time
+	// nextJoinMoveAt is when the next object may move to a joined target, nextRegionMoveAt when the next one may move
+	// to another region.
+	nextJoinMoveAt   time.Time
+	nextRegionMoveAt time.Time
 	balancer
 }
 
-// assigned is one object's place.
-type assigned struct {
+// assignedObject is the assignment of one object.
+type assignedObject struct {
 	target string
 	route  string
-	// version grows with each move; of two places told of, the higher one holds.
+	// version grows with each move; of two assignments that are received, the one with the higher version holds.
 	version  uint64
 	placedAt time.Time
 	warmAt   time.Time
-	// ask is the last question for the object, with an empty name if there was none.
-	ask AssignRequest
+	// lastRequest is the last request for the object; its Object is empty if there was none.
+	lastRequest AssignRequest
 }
 
-// ObjectHash is what an object is called where its name would be too long.
+// ObjectHash identifies an object where its name would be too long.
 func ObjectHash(name string) uint64 { return xxhash.Sum64String(name) }
 
-// SetOwnership tells which objects this instance answers for, as one of so many, the position-th of them.
-func (p *Placer) SetOwnership(owns func(object uint64) bool, position, of int) {
+// SetOwnership sets which objects this instance owns, and its position among the total number of instances that own
+// objects.
+func (p *Placer) SetOwnership(owns func(object uint64) bool, position, total int) {
 	a := &p.assigner
 	a.owns = owns
-	a.offset, a.of = float64(position)/float64(max(1, of)), of
-	a.own = map[uint64]*assigned{}
-	for object, found := range a.objects {
+	a.offset, a.ownerCount = float64(position)/float64(max(1, total)), total
+	a.owned = map[uint64]*assignedObject{}
+	for object, assigned := range a.objects {
 		if owns(object) {
-			a.own[object] = found
+			a.owned[object] = assigned
 		}
 	}
 }
 
-// Assign says where a request for an object goes for which this instance answers.
-func (p *Placer) Assign(now time.Time, ask AssignRequest) Assignment {
+// Assign returns the target of a request for an object that this instance owns, and assigns one if there is none.
+func (p *Placer) Assign(now time.Time, request AssignRequest) Assignment {
 	a := &p.assigner
-	object := ObjectHash(ask.Object)
-	found, ok := a.objects[object]
-	if !ok || !p.Eligible(now, found.target, ask.Regions) {
-		return p.assign(now, object, ask)
+	object := ObjectHash(request.Object)
+	assigned, ok := a.objects[object]
+	if !ok || !p.Eligible(now, assigned.target, request.Regions) {
+		return p.assign(now, object, request)
 	}
-	found.ask = ask
-	return found.place(now)
+	assigned.lastRequest = request
+	return assigned.assignment(now)
 }
 
-// place is the answer to a request for an object that has its place.
-func (o *assigned) place(now time.Time) Assignment {
-	place := Assignment{Target: o.target, Reason: "known"}
+// assignment answers a request for an object that has a target.
+func (o *assignedObject) assignment(now time.Time) Assignment {
+	assignment := Assignment{Target: o.target, Reason: "known"}
 	if now.Before(o.warmAt) {
-		place.WarmAt = o.warmAt
+		assignment.WarmAt = o.warmAt
 	}
-	return place
+	return assignment
 }
 
-// Lookup is an object's place as this instance was told or decided itself, false if it has to be asked for.
+// Lookup returns the assignment of an object as received or decided by this instance, false if its owner has to be
+// asked.
 func (p *Placer) Lookup(now time.Time, object uint64, regions []string) (Assignment, bool) {
-	found, ok := p.assigner.objects[object]
-	if !ok || !p.Eligible(now, found.target, regions) {
+	assigned, ok := p.assigner.objects[object]
+	if !ok || !p.Eligible(now, assigned.target, regions) {
 		return Assignment{}, false
 	}
-	return found.place(now), true
+	return assigned.assignment(now), true
 }
 
-// Supersedes reports whether a place of an object holds instead of another one that was told of. All who hear of both, in
-// whatever order, have to hold the same one, or they would send the object's requests to two targets for good.
+// Supersedes reports whether one assignment of an object takes precedence over another. All instances that receive
+// both, in whatever order, have to keep the same one, or they would send the object's requests to two targets
+// permanently.
 func Supersedes(version uint64, target string, oldVersion uint64, oldTarget string) bool {
 	if version != oldVersion {
 		return version > oldVersion
@@ -134,96 +141,104 @@
 	return target < oldTarget
 }
 
-// RecordAssignment takes what another instance decided, or what this one did in an earlier run.
+// RecordAssignment takes an assignment that another instance made, or this one in an earlier run. It is ignored unless
+// it supersedes the known one.
 func (p *Placer) RecordAssignment(now time.Time, object uint64, target, route string, version uint64) {
 	a := &p.assigner
 	if old, ok := a.objects[object]; ok && !Supersedes(version, target, old.version, old.target) {
 		return
 	}
-	a.set(object, &assigned{target: target, route: route, version: version, placedAt: now})
+	a.store(object, &assignedObject{target: target, route: route, version: version, placedAt: now})
 }
 
-// assign gives an object a target: the one where the asker saw it, else the one that has most room.
-func (p *Placer) assign(now time.Time, object uint64, ask AssignRequest) Assignment {
+// assign assigns an object to a target: the one in the hint if it can be used, otherwise the least loaded one.
+func (p *Placer) assign(now time.Time, object uint64, request AssignRequest) Assignment {
 	a := &p.assigner
-	if old, ok := a.objects[object]; ok && ask.Hint == "" {
-		ask.Hint = old.target
+	if old, ok := a.objects[object]; ok && request.Hint == "" {
+		request.Hint = old.target
 	}
-	if p.Eligible(now, ask.Hint, ask.Regions) {
-		place := a.put(now, object, ask, ask.Hint, "hint")
-		place.FirstRun = false
+	if p.Eligible(now, request.Hint, request.Regions) {
+		assignment := a.placeAt(now, object, request, request.Hint, "hint")
+		assignment.FirstRun = false
 		a.objects[object].warmAt = now
-		return place
+		return assignment
 	}
-	if p.awaited(now, ask.Hint) {
-		return Assignment{Target: ask.Hint, Reason: "awaited"}
+	if p.awaited(now, request.Hint) {
+		return Assignment{Target: request.Hint, Reason: "awaited"}
 	}
-	target := p.emptiest(p.region(now, ask), now, object, ask)
+	target := p.leastLoadedTarget(p.chooseRegion(now, request), now, object, request)
 	if target == nil {
 		return Assignment{}
 	}
-	return p.give(now, object, ask, target, "new")
+	return p.assignCold(now, object, request, target, "new")
 }
 
-// give puts an object at a target that does not have it warm.
-func (p *Placer) give(now time.Time, object uint64, ask AssignRequest, target *Target, reason string) Assignment {
-	target.expect(now, p.assigner.demand)
-	return p.assigner.put(now, object, ask, target.Name, reason)
+// assignCold assigns an object to a target that does not have it warm.
+func (p *Placer) assignCold(now time.Time, object uint64, request AssignRequest, target *Target, reason string,
+) Assignment {
+	target.addPending(now, p.assigner.slotsPerObject)
+	return p.assigner.placeAt(now, object, request, target.Name, reason)
 }
 
-func (a *assigner) put(now time.Time, object uint64, ask AssignRequest, target, reason string) Assignment {
-	next := &assigned{target: target, route: ask.Route, version: 1, placedAt: now, warmAt: now.Add(ask.ColdTime), ask: ask}
+// placeAt stores a new version of an object's assignment.
+func (a *assigner) placeAt(now time.Time, object uint64, request AssignRequest, target, reason string) Assignment {
+	next := &assignedObject{
+		target: target, route: request.Route, version: 1, placedAt: now, warmAt: now.Add(request.ColdTime),
+		lastRequest: request,
+	}
 	if old, ok := a.objects[object]; ok {
 		next.version = old.version + 1
 	}
-	a.set(object, next)
+	a.store(object, next)
 	return Assignment{
-		Target: target, Route: ask.Route, Reason: reason, Version: next.version, FirstRun: true, Changed: true,
+		Target: target, Route: request.Route, Reason: reason, Version: next.version, FirstRun: true, Changed: true,
 	}
 }
 
-func (a *assigner) set(object uint64, next *assigned) {
-	a.forget(object)
+// store replaces an object's assignment. When there are too many objects, it drops all the others.
+func (a *assigner) store(object uint64, next *assignedObject) {
+	a.remove(object)
 	if a.objects == nil || len(a.objects) >= maxObjects {
-		a.objects, a.counts, a.own = map[uint64]*assigned{}, map[string]map[string]int{}, map[uint64]*assigned{}
+		a.objects, a.objectCounts, a.owned = map[uint64]*assignedObject{}, map[string]map[string]int{},
+			map[uint64]*assignedObject{}
 	}
 	a.objects[object] = next
 	if a.owns != nil && a.owns(object) {
-		a.own[object] = next
+		a.owned[object] = next
 	}
-	if a.counts[next.target] == nil {
-		a.counts[next.target] = map[string]int{}
+	if a.objectCounts[next.target] == nil {
+		a.objectCounts[next.target] = map[string]int{}
 	}
-	a.counts[next.target][next.route]++
-	a.counts[next.target][allRoutes]++
+	a.objectCounts[next.target][next.route]++
+	a.objectCounts[next.target][allRoutes]++
 }
 
-// allRoutes stands for the objects of all routes together.
+// allRoutes is the key for the objects of all routes together.
 const allRoutes = ""
 
-func (a *assigner) forget(object uint64) {
+func (a *assigner) remove(object uint64) {
 	old, ok := a.objects[object]
 	if !ok {
 		return
 	}
-	a.counts[old.target][old.route]--
-	a.counts[old.target][allRoutes]--
-	if a.counts[old.target][allRoutes] == 0 {
-		delete(a.counts, old.target)
+	a.objectCounts[old.target][old.route]--
+	a.objectCounts[old.target][allRoutes]--
+	if a.objectCounts[old.target][allRoutes] == 0 {
+		delete(a.objectCounts, old.target)
 	}
 	delete(a.objects, object)
-	delete(a.own, object)
+	delete(a.owned, object)
 }
 
-// keeps reports whether a target may go on being an object's.
-func (p *Placer) keeps(now time.Time, target *Target, regions []string) bool {
+// eligible reports whether a target may continue to be the host of an object.
+func (p *Placer) eligible(now time.Time, target *Target, regions []string) bool {
 	return p.byName[target.Name] == target && !target.down(now) && inRegions(target.Region, regions)
 }
 
 // Eligible reports whether a target may be used for an object that it has warm.
 func (p *Placer) Eligible(now time.Time, target string, regions []string) bool {
-	found, ok := p.byName[target]
-	return ok && p.keeps(now, found, regions)
+	known, ok := p.byName[target]
+	return ok && p.eligible(now, known, regions)
 }
 
 func inRegions(region string, regions []string) bool {
--- a/core/placer/room.go
+++ b/core/placer/room.go
@@ -8,52 +8,56 @@
 )
 
 const (
-	// half an object on top makes the parts of the regions come out even where there are few objects.
-	half = 0.5
-	// loadStep is how finely targets are told apart by their load, in requests per slot. Told apart further, all
-	// instances would give their objects to the same emptiest target at once.
+	// objectOffset is half an object added to each count, so that the shares of the regions come out even where there
+	// are few objects.
+	objectOffset = 0.5
+	// loadStep is the precision to which targets' loads are compared, in requests per slot. With a higher one, all
+	// instances would assign their objects to the same least loaded target at once.
 	loadStep = 0.25
-	// paceStep is the same for how slow a target is.
-	paceStep = 0.5
-	// considered is how many instances consider a target at a time, minCandidates how many targets one considers.
-	considered    = 4
-	minCandidates = 6
+	// slowdownStep is the same for the slowdown of a target.
+	slowdownStep = 0.5
+	// instancesPerTarget is about how many instances consider a target at a time, minCandidates the least number of
+	// targets that one instance considers.
+	instancesPerTarget = 4
+	minCandidates      = 6
 )
 
-// region chooses the region that has the fewest objects of a route for its part.
-func (p *Placer) region(now time.Time, ask AssignRequest) string {
+// chooseRegion returns the region that has the fewest objects of a route for its share.
+func (p *Placer) chooseRegion(now time.Time, request AssignRequest) string {
 	best, least := "", math.Inf(1)
-	for _, r := range slices.Sorted(maps.Keys(p.assigner.parts)) {
-		if score := p.filled(r, ask.Route, 0); score < least && p.open(now, r, ask) {
+	for _, r := range slices.Sorted(maps.Keys(p.assigner.regionShares)) {
+		if score := p.fillRatio(r, request.Route, 0); score < least && p.regionEligible(now, r, request) {
 			best, least = r, score
 		}
 	}
 	return best
 }
 
-// objectsIn counts the objects of a route in a region for which this instance answers. Each instance evens out its own:
-// by those of all, hundreds of objects that want a place at once would all go to the region that is behind.
-func (p *Placer) objectsIn(region, route string) int {
+// ownedObjectsIn counts the objects of a route in a region that this instance owns. Each instance balances its own
+// objects: by the counts of all objects, hundreds that need a target at once would all go to the region that is behind.
+func (p *Placer) ownedObjectsIn(region, route string) int {
 	n := 0
-	for _, found := range p.assigner.own {
-		if target, ok := p.byName[found.target]; ok && target.Region == region && found.route == route {
+	for _, assigned := range p.assigner.owned {
+		if target, ok := p.byName[assigned.target]; ok && target.Region == region && assigned.route == route {
 			n++
 		}
 	}
 	return n
 }
 
-// emptiest returns the target with most room for an object, of those of a region that this instance considers: with the
-// least load, and of those the one with the fewest objects of its route for its slots.
-func (p *Placer) emptiest(region string, now time.Time, object uint64, ask AssignRequest) *Target {
+// leastLoadedTarget returns the target for an object, of those of a region that this instance considers: the one with
+// the least load, and of several such the one with the fewest objects of its route per slot.
+func (p *Placer) leastLoadedTarget(region string, now time.Time, object uint64, request AssignRequest) *Target {
 	var best *Target
 	leastLoad, leastObjects := math.Inf(1), math.Inf(1)
 	for _, target := range p.candidates(region, object) {
-		if !p.keeps(now, target, ask.Regions) {
+		if !p.eligible(now, target, request.Regions) {
 			continue
 		}
-		load := math.Floor(target.expected(now)/loadStep) * max(1, math.Floor(target.slowness(now)/paceStep)*paceStep)
-		objects := (float64(p.assigner.counts[target.Name][ask.Route]) + half) / max(1, float64(target.Slots))
+		load := math.Floor(target.expectedLoad(now)/loadStep) *
+			max(1, math.Floor(target.slowdown(now)/slowdownStep)*slowdownStep)
+		objects := (float64(p.assigner.objectCounts[target.Name][request.Route]) + objectOffset) /
+			max(1, float64(target.Slots))
 		if load < leastLoad || load == leastLoad && objects < leastObjects {
 			best, leastLoad, leastObjects = target, load, objects
 		}
@@ -61,13 +65,14 @@
 	return best
 }
 
-// candidates are some targets of a region from a place of this instance's own on, and as many from one of the object's.
-// Of all targets, all instances would choose the same emptiest ones in the half second that news takes, as when a zone is
-// lost and hundreds of objects want a place; few instances consider the same few.
+// candidates returns some targets of a region beginning at this instance's own position, and as many beginning at the
+// object's; where there are few targets, all of them. If all targets were compared, all instances would choose the same
+// least loaded ones within the half second that updates take to arrive, as when an availability zone is lost and
+// hundreds of objects need a target; this way few instances consider the same targets.
 func (p *Placer) candidates(region string, object uint64) []*Target {
 	near := p.hosts.byRegion[region]
 	a := &p.assigner
-	n := max(minCandidates, considered*len(near)/max(1, a.of))
+	n := max(minCandidates, instancesPerTarget*len(near)/max(1, a.ownerCount))
 	own := int(a.offset * float64(len(near)))
 	if n >= len(near) {
 		return slices.Concat(near[own:], near[:own])
@@ -83,12 +88,15 @@
 	return out
 }
 
-// filled is how many objects of a route a region has for its part, with some more.
-func (p *Placer) filled(region, route string, more float64) float64 {
-	return (float64(p.objectsIn(region, route)) + more + half) / max(minShare, p.assigner.parts[region])
+// fillRatio is how many objects of a route a region has, and extra ones, relative to its share.
+func (p *Placer) fillRatio(region, route string, extra float64) float64 {
+	return (float64(p.ownedObjectsIn(region, route)) + extra + objectOffset) /
+		max(minShare, p.assigner.regionShares[region])
 }
 
-// open reports whether a region has a target for an object.
-func (p *Placer) open(now time.Time, region string, ask AssignRequest) bool {
-	return slices.ContainsFunc(p.hosts.byRegion[region], func(t *Target) bool { return p.keeps(now, t, ask.Regions) })
+// regionEligible reports whether a region has a target for an object.
+func (p *Placer) regionEligible(now time.Time, region string, request AssignRequest) bool {
+	return slices.ContainsFunc(p.hosts.byRegion[region], func(t *Target) bool {
+		return p.eligible(now, t, request.Regions)
+	})
 }
--- a/core/placer/spread.go
+++ b/core/placer/spread.go
@@ -10,83 +10,86 @@
 )
 
 const (
-	// moveRate is how much of its requests an entry instance moves between regions in a second while nothing is
-	// broken. Twice that in two seconds stays under the 15% that links between regions are planned for, with room
-	// for chance.
-	moveRate = 0.055
-	// homeRate is the same for requests that come back to the home region. They wait there no less, so nothing is lost
-	// by staying away, while the next peak of the home region is met by shares that can take it.
-	homeRate = 0.03
-	// playPart is how far a region may be ahead of its share, as a part of two seconds' requests; minPlay is the least,
-	// in requests. More would let chance add up to moves that links are not planned for, less would refuse requests that
-	// could be served on time.
-	playPart = 0.02
-	minPlay  = 1.4
-	// gapParts is the weight of the newest gap between requests in their rate: a fiftieth.
-	gapParts = 50
-	// leak is the time in which what a region is ahead or behind of its share loses half of its weight: moves between
-	// regions are judged over two seconds, and what chance did before need not be made up for.
-	leak = 2 * time.Second
-	// evenEntries is how many entry instances a region has where each may be ahead by playPart. Of more instances the
-	// deviations cancel out in part, so each may have more.
-	evenEntries = 9
-	// crowded and roomy are the loads of the home region, in requests per slot, from which on requests move away and
-	// below which they come home; in between they stay, for each move makes objects run cold once.
-	crowded = 0.85
-	roomy   = 0.6
-	// lighter is how much less load than the home region another one must have to take its requests.
-	lighter = 0.7
-	// loadParts is the weight of the newest report in a region's load.
-	loadParts = 20
-	// loadHold is how long a region's load holds without a report, and loadLife the time in which it then loses two
-	// thirds of its weight. A region that requests have left altogether would otherwise look crowded for ever, and they
-	// would never come home. Fading at once would make regions look emptier the less an instance hears of them.
-	loadHold = 2 * time.Second
-	loadLife = 2 * time.Second
-	// disturbance is how long a failure or a change of targets lets requests move at once: capacity was lost or
-	// found, and slow steps would refuse what can be served.
-	disturbance = 4 * time.Second
+	// awayRate is the part of its requests that an entry instance moves from its home region to another one in a second
+	// while nothing is broken. Two seconds of it stay under the 15% that links between regions are planned for, with
+	// room for random variation.
+	awayRate = 0.055
+	// returnRate is the same for requests that return to the home region. They wait no less there, so nothing is lost
+	// by returning slowly, and the next peak of the home region meets shares that can take it.
+	returnRate = 0.03
+	// toleranceFraction is how far a region may be ahead of its share, as a part of the requests of two seconds;
+	// minTolerance is the least, in requests. With more, random variation would add up to moves that links are not
+	// planned for; with less, requests would be refused that could be served on time.
+	toleranceFraction = 0.02
+	minTolerance      = 1.4
+	// gapDivisor sets the weight of the newest gap between requests in their rate: one fiftieth.
+	gapDivisor = 50
+	// deficitDecay is the time in which a region's surplus or deficit against its share loses almost two thirds of its
+	// weight. Moves between regions are judged over two seconds, and earlier random variation need not be made up for.
+	deficitDecay = 2 * time.Second
+	// referenceEntries is the number of entry instances in a region for which toleranceFraction holds. With more
+	// instances the deviations partly cancel out, so each may deviate more.
+	referenceEntries = 9
+	// highLoad and lowLoad are the loads of the home region, in requests per slot, above which requests move away and
+	// below which they return. In between they stay, because each move makes objects run cold once.
+	highLoad = 0.85
+	lowLoad  = 0.6
+	// maxLoadRatio is the highest load, relative to that of the home region, at which another region takes its
+	// requests.
+	maxLoadRatio = 0.7
+	// loadDivisor sets the weight of the newest report in a region's load: one twentieth.
+	loadDivisor = 20
+	// loadValidity is how long a region's load holds without a report, and loadDecay the time in which it then loses
+	// almost two thirds of its weight. Otherwise a region that all requests have left would keep its high load, and
+	// they would never return. With decay from the start, regions would look emptier the fewer reports an instance
+	// receives from them.
+	loadValidity = 2 * time.Second
+	loadDecay    = 2 * time.Second
+	// unlimitedPeriod is how long requests may move without limit after a failure or a change of targets: capacity was
+	// lost or gained, and slow steps would refuse requests that can be served.
+	unlimitedPeriod = 4 * time.Second
 )
 
-// spread keeps the parts of the requests that go to each region from jumping. It answers the peak that saturates one
-// region: all entry instances there would turn to another region in the same second, and swamp its links and targets.
-type spread struct {
+// regionSplit limits how fast the shares of requests that go to each region change. It guards against a peak that
+// saturates one region: all entry instances there would switch to another region in the same second and overload its
+// links and targets.
+type regionSplit struct {
 	home    string
 	regions []string
-	// shares are the parts that hold now, owed how many requests each region is behind its share, loads the requests
-	// per slot that its targets reported.
-	shares map[string]float64
-	owed   map[string]float64
-	loads  map[string]regionLoad
-	// entries is how many entry instances a region has.
-	entries float64
-	at      time.Time
-	free    time.Time
-	// rate is the smoothed number of requests a second.
+	// shares are the current shares of the regions, deficits how many requests each region is behind its share, loads
+	// the requests per slot that its targets reported.
+	shares   map[string]float64
+	deficits map[string]float64
+	loads    map[string]regionLoad
+	// entries is the number of entry instances per region.
+	entries        float64
+	lastArrival    time.Time
+	unlimitedUntil time.Time
+	// rate is the smoothed number of requests per second.
 	rate float64
 }
 
-// follow takes a changed set of targets; slots holds how many each region has. Until the first request the shares
-// follow the slots: targets announce themselves one by one, and shares taken from the first few would send a region's
-// first requests to where it has no room, and move away from there in slow steps only.
-func (s *spread) follow(home string, slots map[string]float64) {
+// update applies a changed set of targets; slots holds the number of slots of each region. Until the first request the
+// shares follow the slots: targets announce themselves one by one, and shares taken from the first few would send a
+// region's first requests to where there is no room, and would leave there only in slow steps.
+func (s *regionSplit) update(home string, slots map[string]float64) {
 	s.home = home
 	var regions []string
 	for r := range slots {
 		regions = append(regions, r)
 	}
 	slices.Sort(regions)
-	if slices.Equal(regions, s.regions) && !s.at.IsZero() {
+	if slices.Equal(regions, s.regions) && !s.lastArrival.IsZero() {
 		return
 	}
 	s.regions = regions
-	s.shares = firstShares(home, slots)
-	s.owed, s.loads = map[string]float64{}, map[string]regionLoad{}
+	s.shares = initialShares(home, slots)
+	s.deficits, s.loads = map[string]float64{}, map[string]regionLoad{}
 }
 
-// firstShares keeps at home what the home region's slots can take if all regions ask alike, and sends the rest where
-// slots are left over.
-func firstShares(home string, slots map[string]float64) map[string]float64 {
+// initialShares keeps at home what the home region's slots can take if all regions have the same demand, and sends the
+// rest where slots are left over.
+func initialShares(home string, slots map[string]float64) map[string]float64 {
 	total := 0.0
 	for _, n := range slots {
 		total += n
@@ -103,7 +106,7 @@
 		out[home] = 1
 	}
 	if spare == 0 || mean == 0 {
-		return even(out, slots)
+		return evenShares(out, slots)
 	}
 	out[home] = min(1, slots[home]/mean)
 	for r, n := range slots {
@@ -114,7 +117,8 @@
 	return out
 }
 
-func even(out, slots map[string]float64) map[string]float64 {
+// evenShares returns out, or the same share for each region where out is empty.
+func evenShares(out, slots map[string]float64) map[string]float64 {
 	if len(out) > 0 {
 		return out
 	}
@@ -124,20 +128,20 @@
 	return out
 }
 
-// disturb lets requests move at once for a while.
-func (s *spread) disturb(now time.Time) { s.free = now.Add(disturbance) }
+// liftLimit allows requests to move without limit for unlimitedPeriod.
+func (s *regionSplit) liftLimit(now time.Time) { s.unlimitedUntil = now.Add(unlimitedPeriod) }
 
-// disturbed reports whether requests may move at once.
-func (s *spread) disturbed(now time.Time) bool { return now.Before(s.free) }
+// unlimited reports whether requests may move without limit.
+func (s *regionSplit) unlimited(now time.Time) bool { return now.Before(s.unlimitedUntil) }
 
 // allows reports whether one more request may go to a region.
-func (s *spread) allows(now time.Time, region string) bool {
-	return s.disturbed(now) || s.owed[region] > 1-s.play()
+func (s *regionSplit) allows(now time.Time, region string) bool {
+	return s.unlimited(now) || s.deficits[region] > 1-s.tolerance()
 }
 
-// play is how many requests a region may be ahead of its share.
-func (s *spread) play() float64 {
-	return max(minPlay, playPart*2*s.rate*math.Sqrt(max(1, s.entries/evenEntries)))
+// tolerance is how many requests a region may be ahead of its share.
+func (s *regionSplit) tolerance() float64 {
+	return max(minTolerance, toleranceFraction*2*s.rate*math.Sqrt(max(1, s.entries/referenceEntries)))
 }
 
 // regionLoad is the smoothed number of requests per slot of a region's targets, as of a time.
@@ -146,38 +150,39 @@
 	at      time.Time
 }
 
-func (s *spread) load(now time.Time, region string) float64 {
+// load returns a region's requests per slot; without reports it decays.
+func (s *regionSplit) load(now time.Time, region string) float64 {
 	l := s.loads[region]
-	return l.perSlot * gauger.Decay(now.Sub(l.at)-loadHold, loadLife)
+	return l.perSlot * gauger.Decay(now.Sub(l.at)-loadValidity, loadDecay)
 }
 
-// see takes a target's report.
-func (s *spread) see(now time.Time, t *Target, l *messenger.Load) {
+// observe takes a target's report.
+func (s *regionSplit) observe(now time.Time, t *Target, l *messenger.Load) {
 	reported, ok := l.PerSlot()
 	if s.loads == nil || !ok {
 		return
 	}
 	old := s.load(now, t.Region)
-	s.loads[t.Region] = regionLoad{perSlot: old + (reported-old)/loadParts, at: now}
+	s.loads[t.Region] = regionLoad{perSlot: old + (reported-old)/loadDivisor, at: now}
 }
 
-// arrive counts a request, and moves the shares a little to where there is room.
-func (s *spread) arrive(now time.Time) {
+// recordArrival counts a request, and moves the shares a small step to where there is room.
+func (s *regionSplit) recordArrival(now time.Time) {
 	elapsed := time.Duration(0)
-	if !s.at.IsZero() {
-		elapsed = min(time.Second, max(0, now.Sub(s.at)))
+	if !s.lastArrival.IsZero() {
+		elapsed = min(time.Second, max(0, now.Sub(s.lastArrival)))
 	}
-	s.at = now
-	s.count(elapsed)
-	kept := gauger.Decay(elapsed, leak)
+	s.lastArrival = now
+	s.updateRate(elapsed)
+	kept := gauger.Decay(elapsed, deficitDecay)
 	for _, r := range s.regions {
-		s.owed[r] *= kept
+		s.deficits[r] *= kept
 	}
-	s.step(now, elapsed.Seconds())
+	s.adjustShares(now, elapsed.Seconds())
 }
 
-// count follows the rate of requests from the time between two.
-func (s *spread) count(elapsed time.Duration) {
+// updateRate updates the rate of requests with the time between two of them.
+func (s *regionSplit) updateRate(elapsed time.Duration) {
 	if elapsed <= 0 || elapsed >= time.Second {
 		return
 	}
@@ -185,58 +190,60 @@
 	if s.rate > 0 {
 		gap = 1 / s.rate
 	}
-	gap += (elapsed.Seconds() - gap) / gapParts
+	gap += (elapsed.Seconds() - gap) / gapDivisor
 	s.rate = 1 / gap
 }
 
-// step moves the shares for a part of a second: away from a crowded home region to the lightest one, or home again from
-// the heaviest.
-func (s *spread) step(now time.Time, seconds float64) {
+// adjustShares moves the shares for the given number of seconds: away from an overloaded home region to the least
+// loaded one, or back home from the most loaded.
+func (s *regionSplit) adjustShares(now time.Time, seconds float64) {
 	if !slices.Contains(s.regions, s.home) {
 		return
 	}
-	lightest, heaviest := s.others(now)
-	if lightest == "" {
+	leastLoaded, mostLoaded := s.leastAndMostLoaded(now)
+	if leastLoaded == "" {
 		return
 	}
 	home := s.load(now, s.home)
 	switch {
-	case home > crowded && s.load(now, lightest) < lighter*home:
-		s.move(s.home, lightest, moveRate*seconds)
-	case home < roomy:
-		s.move(heaviest, s.home, homeRate*seconds)
+	case home > highLoad && s.load(now, leastLoaded) < maxLoadRatio*home:
+		s.shift(s.home, leastLoaded, awayRate*seconds)
+	case home < lowLoad:
+		s.shift(mostLoaded, s.home, returnRate*seconds)
 	}
 }
 
-// others returns the regions but the home one with the least load, and with the most of those that have a share.
-func (s *spread) others(now time.Time) (lightest, heaviest string) {
+// leastAndMostLoaded returns, of the regions other than the home one, the least loaded, and the most loaded of those
+// that have a share.
+func (s *regionSplit) leastAndMostLoaded(now time.Time) (leastLoaded, mostLoaded string) {
 	for _, r := range s.regions {
 		if r == s.home {
 			continue
 		}
-		if lightest == "" || s.load(now, r) < s.load(now, lightest) {
-			lightest = r
+		if leastLoaded == "" || s.load(now, r) < s.load(now, leastLoaded) {
+			leastLoaded = r
 		}
-		if s.shares[r] > 0 && (heaviest == "" || s.load(now, r) > s.load(now, heaviest)) {
-			heaviest = r
+		if s.shares[r] > 0 && (mostLoaded == "" || s.load(now, r) > s.load(now, mostLoaded)) {
+			mostLoaded = r
 		}
 	}
-	return lightest, heaviest
+	return leastLoaded, mostLoaded
 }
 
-func (s *spread) move(from, to string, part float64) {
+// shift moves an amount of the shares between two regions, at most what the first one has.
+func (s *regionSplit) shift(from, to string, amount float64) {
 	if from == "" {
 		return
 	}
-	part = min(part, s.shares[from])
-	s.shares[from] -= part
-	s.shares[to] += part
+	amount = min(amount, s.shares[from])
+	s.shares[from] -= amount
+	s.shares[to] += amount
 }
 
-// sent counts a request that goes to a region.
-func (s *spread) sent(region string) {
+// recordSend counts a request that is sent to a region.
+func (s *regionSplit) recordSend(region string) {
 	for _, r := range s.regions {
-		s.owed[r] += s.shares[r]
+		s.deficits[r] += s.shares[r]
 	}
-	s.owed[region]--
+	s.deficits[region]--
 }
