--- a/controller/internal/consenter/apply.go
+++ b/controller/internal/consenter/apply.go
@@ -76,10 +76,10 @@
 }
 
 func (c *Consenter) updateLimits() {
-	if c.state.Number() == c.catalogueNumber {
+	if c.state.CatalogueNumber() == c.catalogueNumber {
 		return
 	}
-	c.catalogueNumber = c.state.Number()
+	c.catalogueNumber = c.state.CatalogueNumber()
 	parsed, err := cataloguer.Parse("catalogue", c.state.Catalogue())
 	if err != nil {
 		_ = level.Error(c.Logger).Log("msg", "failed to parse catalogue in force", "number", c.catalogueNumber, "err", err)
--- a/controller/internal/consenter/events.go
+++ b/controller/internal/consenter/events.go
@@ -78,12 +78,12 @@
 	response := &wire.RenewResponse{
 		Sequence: r.GetSequence(),
 		Group:    c.replica.Group,
-		Number:   c.state.Number(),
+		Number:   c.state.CatalogueNumber(),
 		Grants:   grants,
 		Roster:   c.roster.version,
 		Lease:    int64(c.Lease),
 	}
-	if instance.GetNumber() < c.state.Number() {
+	if instance.GetNumber() < c.state.CatalogueNumber() {
 		response.Catalogue = c.state.Catalogue()
 	}
 	if r.GetRoster() != c.roster.version {
@@ -94,7 +94,7 @@
 
 func (c *Consenter) status(now time.Time) *wire.StatusResponse {
 	out := &wire.StatusResponse{
-		Number: c.state.Number(),
+		Number: c.state.CatalogueNumber(),
 		Leader: c.replica.LeaderMember().GetName(),
 		Commit: c.committed,
 		Claims: uint64(c.state.Ledger.Count()),
@@ -122,7 +122,7 @@
 	if !c.leads(now) {
 		return nil, c.notLeaderError()
 	}
-	return &wire.GetResponse{Number: c.state.Number(), Catalogue: c.state.Catalogue()}, nil
+	return &wire.GetResponse{Number: c.state.CatalogueNumber(), Catalogue: c.state.Catalogue()}, nil
 }
 
 func (c *Consenter) enqueue(ctx context.Context, e event) error {
--- a/controller/internal/consenter/summary.go
+++ b/controller/internal/consenter/summary.go
@@ -29,7 +29,7 @@
 	s := &Summary{
 		Leads:           c.leads(now),
 		Leader:          c.replica.LeaderMember().GetName(),
-		CatalogueNumber: c.state.Number(),
+		CatalogueNumber: c.state.CatalogueNumber(),
 		Commit:          c.committed,
 		Claims:          c.state.Ledger.Count(),
 		Term:            c.replica.Term(),
--- a/core/keeper/keeper.go
+++ b/core/keeper/keeper.go
@@ -33,8 +33,8 @@
 	stretched   []string
 }
 
-// Number returns the number of the catalogue in force.
-func (k *Keeper) Number() uint64 { return k.number }
+// CatalogueNumber returns the number of the catalogue in force.
+func (k *Keeper) CatalogueNumber() uint64 { return k.number }
 
 // Catalogue returns the text of the catalogue in force.
 func (k *Keeper) Catalogue() []byte { return k.catalogue }
--- a/core/keeper/keeper_test.go
+++ b/core/keeper/keeper_test.go
@@ -27,7 +27,7 @@
 	is.True(k.Apply(change("a", 1)).GetVerdict().GetAccepted()) // as before
 	is.True(!k.Apply(change("b", 1)).GetVerdict().GetAccepted())
 	is.True(!k.Apply(change("d", 4)).GetVerdict().GetAccepted()) // no gap
-	is.Equal(k.Number(), uint64(2))
+	is.Equal(k.CatalogueNumber(), uint64(2))
 	is.Equal(string(k.Catalogue()), "of c")
 }
 
@@ -52,5 +52,5 @@
 		k.Apply(change(fmt.Sprint("id", i), i+1))
 	}
 	is.Equal(len(k.answers), Remembered)
-	is.Equal(k.Number(), uint64(Remembered+10))
+	is.Equal(k.CatalogueNumber(), uint64(Remembered+10))
 }
