--- a/controller/internal/consenter/routing.go
+++ b/controller/internal/consenter/routing.go
@@ -72,7 +72,7 @@
 	next := &Routing{
 		Revision:  c.revision,
 		Plan:      c.state.Plan(),
-		Evacuated: c.state.Evacuated(),
+		Evacuated: c.state.EvacuatedZones(),
 		Members:   c.replica.Members(),
 		Leader:    c.replica.LeaderMember().GetName(),
 	}
--- a/core/keeper/plan.go
+++ b/core/keeper/plan.go
@@ -8,8 +8,8 @@
 // Plan returns the routing plan in force, or nil before the first.
 func (k *Keeper) Plan() *wire.Plan { return k.plan }
 
-// Evacuated returns the availability zones whose targets get no requests, sorted.
-func (k *Keeper) Evacuated() []string { return k.evacuated }
+// EvacuatedZones returns the availability zones whose targets get no requests, sorted.
+func (k *Keeper) EvacuatedZones() []string { return k.evacuated }
 
 // changePlan accepts a change on top of the version in force. One that was accepted before is acknowledged
 // again, however long ago: its sender lost the answer, and a refusal would tell it that the change is not in force.
--- a/core/keeper/plan_test.go
+++ b/core/keeper/plan_test.go
@@ -66,15 +66,15 @@
 	for _, e := range []*wire.Evacuation{{Zone: "b", On: true}, {Zone: "a", On: true}, {Zone: "b", On: true}, {Zone: "c"}} {
 		k.Apply(&wire.Command{Evacuation: e})
 	}
-	is.Equal(k.Evacuated(), []string{"a", "b"})
+	is.Equal(k.EvacuatedZones(), []string{"a", "b"})
 	data, err := k.Snapshot()
 	is.NoErr(err)
 	restored := &Keeper{}
 	is.NoErr(restored.Restore(data))
-	is.Equal(restored.Evacuated(), []string{"a", "b"})
+	is.Equal(restored.EvacuatedZones(), []string{"a", "b"})
 	restored.Apply(&wire.Command{Evacuation: &wire.Evacuation{Zone: "a"}})
-	is.Equal(restored.Evacuated(), []string{"b"})
-	is.Equal(k.Evacuated(), []string{"a", "b"})
+	is.Equal(restored.EvacuatedZones(), []string{"b"})
+	is.Equal(k.EvacuatedZones(), []string{"a", "b"})
 }
 
 func TestReadsAnswerThePlanInForce(t *testing.T) {
