--- a/core/storer/hosts.go
+++ b/core/storer/hosts.go
@@ -12,14 +12,14 @@
 
 const hostsFile = "hosts"
 
-// Hosts keeps the objects' hosts in a file of their own. They are hints: lost ones cost slow runs, and neither reading nor
+// HostStore keeps the objects' hosts in a file of their own. They are hints: lost ones cost slow runs, and neither reading nor
 // writing them may hold up what binds.
-type Hosts struct {
+type HostStore struct {
 	Folder string
 }
 
 // Load reads the hosts that were last saved; none if there is no file.
-func (h *Hosts) Load() ([]*wire.Host, error) {
+func (h *HostStore) Load() ([]*wire.Host, error) {
 	out := &wire.Hosts{}
 	err := readMessage(filepath.Join(h.Folder, hostsFile), out)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -32,7 +32,7 @@
 }
 
 // Save replaces the file.
-func (h *Hosts) Save(list []*wire.Host) error {
+func (h *HostStore) Save(list []*wire.Host) error {
 	data, err := proto.Marshal(&wire.Hosts{Hosts: list})
 	if err != nil {
 		return &FileError{Action: "encode", Path: hostsFile, Cause: err}
--- a/core/storer/hosts_test.go
+++ b/core/storer/hosts_test.go
@@ -15,7 +15,7 @@
 // half of a file taken for all of it would send requests to targets that never had their objects.
 func TestHostsFile(t *testing.T) {
 	is := is.New(t)
-	file := &Hosts{Folder: t.TempDir()}
+	file := &HostStore{Folder: t.TempDir()}
 	none, err := file.Load()
 	is.NoErr(err)
 	is.Equal(len(none), 0)
