--- a/core/registrar/registrar.go
+++ b/core/registrar/registrar.go
@@ -16,8 +16,8 @@
 const (
 	// Lease is how long an announcement holds; targets announce again well before.
 	Lease = 6 * time.Second
-	// Interval is how often targets are asked to announce.
-	Interval = time.Second
+	// AnnouncementInterval is how often targets are asked to announce.
+	AnnouncementInterval = time.Second
 	// MaxTargets bounds the register of one entry instance.
 	MaxTargets = 100_000
 
--- a/entry/internal/announcer/announcer.go
+++ b/entry/internal/announcer/announcer.go
@@ -64,7 +64,7 @@
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(acknowledgement{
 		Deadline: now.Add(registrar.Lease).UTC(),
-		Next:     now.Add(registrar.Interval).UTC(),
+		Next:     now.Add(registrar.AnnouncementInterval).UTC(),
 	})
 }
 
