--- a/controller/internal/exchanger/announcements.go
+++ b/controller/internal/exchanger/announcements.go
@@ -15,7 +15,7 @@
 // told to this controller alone it would be forgotten if this one is cut off the next moment, and requests would go
 // on to reach a target that was told it gets none.
 func (x *Exchanger) Announce(ctx context.Context, r *wire.Record) error {
-	if err := registrar.CheckForm(r); err != nil {
+	if err := registrar.CheckFormat(r); err != nil {
 		return err
 	}
 	// With nobody to pass it on to, the announcement would be lost: the target asks another controller.
--- a/core/registrar/registrar.go
+++ b/core/registrar/registrar.go
@@ -41,14 +41,14 @@
 
 // Check refuses an announcement that is malformed or that the catalogue does not allow.
 func Check(c *cataloguer.Catalogue, r *wire.Record) error {
-	if err := CheckForm(r); err != nil {
+	if err := CheckFormat(r); err != nil {
 		return err
 	}
 	return checkPlace(c, r)
 }
 
-// CheckForm refuses an announcement that no catalogue could allow.
-func CheckForm(r *wire.Record) error {
+// CheckFormat refuses an announcement that no catalogue could allow.
+func CheckFormat(r *wire.Record) error {
 	switch {
 	case r.GetName() == "" || len(r.GetName()) > maxName:
 		return &AnnouncementError{"name", "1 to 128 characters", r.GetName()}
