--- a/core/registrar/registrar.go
+++ b/core/registrar/registrar.go
@@ -140,8 +140,8 @@
 	return r.GetSilent() && !old.GetSilent()
 }
 
-// Live returns the ready records of a service whose lease goes on, by name.
-func (g *Registrar) Live(now time.Time, service string) []*wire.Record {
+// Ready returns the ready records of a service whose lease goes on, by name.
+func (g *Registrar) Ready(now time.Time, service string) []*wire.Record {
 	var out []*wire.Record
 	for _, h := range g.held {
 		ready := h.record.GetState() == wire.TargetState_TARGET_READY
--- a/core/registrar/registrar_test.go
+++ b/core/registrar/registrar_test.go
@@ -36,7 +36,7 @@
 
 func assertLive(t *testing.T, g *Registrar, now time.Time, want int) {
 	t.Helper()
-	is.New(t).Equal(len(g.Live(now, "listings")), want)
+	is.New(t).Equal(len(g.Ready(now, "listings")), want)
 }
 
 // A target says that it leaves, and an older announcement arrives after that, or one sent by a part of
@@ -99,8 +99,8 @@
 		for _, i := range append(random.Perm(len(sent)), random.Perm(len(sent))...) {
 			second.Merge(now, clone(sent[i]))
 		}
-		is.Equal(len(first.Live(now, "listings")) > 0 && newestLeft(sent), false)
-		is.Equal(len(second.Live(now, "listings")) > 0 && newestLeft(sent), false)
+		is.Equal(len(first.Ready(now, "listings")) > 0 && newestLeft(sent), false)
+		is.Equal(len(second.Ready(now, "listings")) > 0 && newestLeft(sent), false)
 	}
 }
 
@@ -165,9 +165,9 @@
 	is.True(!g.Merge(now, placed("old", 10, 2, "10.0.0.1:80", wire.TargetState_TARGET_READY)))
 	old, _ := g.Get("old")
 	is.Equal(old.GetState(), wire.TargetState_TARGET_GONE)
-	is.Equal(len(g.Live(now, "listings")), 1)
+	is.Equal(len(g.Ready(now, "listings")), 1)
 	is.True(g.Merge(now, placed("old", 30, 1, "10.0.0.2:80", wire.TargetState_TARGET_READY)))
-	is.Equal(len(g.Live(now, "listings")), 2)
+	is.Equal(len(g.Ready(now, "listings")), 2)
 }
 
 // A target leaves without having said so before, and its last heartbeat arrives after that.
@@ -181,7 +181,7 @@
 	got, _ := g.Get("u")
 	is.Equal(got.GetState(), wire.TargetState_TARGET_GONE)
 	is.True(g.Merge(now, placed("u", 11, 1, "10.0.0.1:80", wire.TargetState_TARGET_READY)))
-	is.Equal(len(g.Live(now, "listings")), 1)
+	is.Equal(len(g.Ready(now, "listings")), 1)
 }
 
 // A target's last heartbeat reached only controllers that are cut off, and some instances learnt it from them. It
@@ -194,8 +194,8 @@
 		var g Registrar
 		is.True(g.Merge(now, placed("u", 10, 9, "10.0.0.1:80", wire.TargetState_TARGET_READY)))
 		is.True(g.Merge(now, placed("u", 10, 8, "10.0.0.1:80", state)))
-		is.Equal(len(g.Live(now, "listings")), 0)
+		is.Equal(len(g.Ready(now, "listings")), 0)
 		g.Merge(now, placed("u", 10, 12, "10.0.0.1:80", wire.TargetState_TARGET_READY))
-		is.Equal(len(g.Live(now, "listings")), 0)
+		is.Equal(len(g.Ready(now, "listings")), 0)
 	}
 }
--- a/entry/internal/directory/view.go
+++ b/entry/internal/directory/view.go
@@ -47,7 +47,7 @@
 func (d *Directory) buildPool(now time.Time, c *cataloguer.Catalogue, service string) *balancer.Pool {
 	groups := map[string][]*balancer.Target{}
 	var members []*balancer.Target
-	for _, r := range d.records.Live(now, service) {
+	for _, r := range d.records.Ready(now, service) {
 		if _, drained := c.Drained(r.GetName(), "", r.GetZone(), r.GetRegion()); drained {
 			continue
 		}
