--- a/controller/internal/consenter/routing.go
+++ b/controller/internal/consenter/routing.go
@@ -95,5 +95,5 @@
 	if plan == nil {
 		return nil
 	}
-	return planner.Seal(plan)
+	return planner.HashKeys(plan)
 }
--- a/controller/internal/exchanger/exchanger_test.go
+++ b/controller/internal/exchanger/exchanger_test.go
@@ -23,7 +23,7 @@
 
 func (m mind) Routing() *consenter.Routing {
 	plan := &wire.Plan{Version: 1, Organisations: []*wire.Organisation{{Name: "acme", Keys: []string{"s3cret"}}}}
-	out := &consenter.Routing{Revision: 1, Plan: plan, PlanWithoutKeys: planner.Seal(plan)}
+	out := &consenter.Routing{Revision: 1, Plan: plan, PlanWithoutKeys: planner.HashKeys(plan)}
 	for _, name := range m.voters {
 		out.Members = append(out.Members, &wire.Member{Name: name, Voter: true, Address: "127.0.0.1:1"})
 	}
--- a/core/planner/organisations.go
+++ b/core/planner/organisations.go
@@ -35,8 +35,8 @@
 	return nil
 }
 
-// Seal returns the plan without any key: with digests in their place, for processes that need only recognise keys.
-func Seal(p *wire.Plan) *wire.Plan {
+// HashKeys returns the plan without any key: with digests in their place, for processes that need only recognise keys.
+func HashKeys(p *wire.Plan) *wire.Plan {
 	if !slices.ContainsFunc(p.GetOrganisations(), func(o *wire.Organisation) bool { return len(o.GetKeys()) > 0 }) {
 		return p
 	}
@@ -60,7 +60,7 @@
 
 func index(p *wire.Plan) organisations {
 	out := organisations{}
-	for _, o := range Seal(p).GetOrganisations() {
+	for _, o := range HashKeys(p).GetOrganisations() {
 		for _, sum := range o.GetDigests() {
 			var d digest
 			if copy(d[:], sum) == len(d) {
--- a/core/planner/organisations_test.go
+++ b/core/planner/organisations_test.go
@@ -51,7 +51,7 @@
 func TestASealedPlanHoldsNoKey(t *testing.T) {
 	is := is.New(t)
 	whole := keyed(organisation("a", "s3cret", "second"), organisation("b", "third"))
-	sealed := Seal(whole)
+	sealed := HashKeys(whole)
 	data, err := proto.Marshal(sealed)
 	is.NoErr(err)
 	for _, key := range []string{"s3cret", "second", "third"} {
--- a/entry/internal/dispatcher/organisation_test.go
+++ b/entry/internal/dispatcher/organisation_test.go
@@ -54,7 +54,7 @@
 	p.Organisations = []*wire.Organisation{
 		{Name: "acme", Keys: []string{secret}}, {Name: "bound", Keys: []string{"bound"}, Regions: []string{"q"}},
 	}
-	view.Table = planner.NewTable(planner.Seal(p))
+	view.Table = planner.NewTable(planner.HashKeys(p))
 	c.Views = seen(&view)
 }
 
