--- a/core/planner/organisations.go
+++ b/core/planner/organisations.go
@@ -80,8 +80,8 @@
 	return o, ok
 }
 
-// Common returns the regions that both lists allow, where an empty list allows all; false if there is none.
-func Common(a, b []string) ([]string, bool) {
+// CommonRegions returns the regions that both lists allow, where an empty list allows all; false if there is none.
+func CommonRegions(a, b []string) ([]string, bool) {
 	if len(a) == 0 {
 		return b, true
 	}
--- a/core/planner/organisations_test.go
+++ b/core/planner/organisations_test.go
@@ -95,7 +95,7 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			got, some := Common(c.a, c.b)
+			got, some := CommonRegions(c.a, c.b)
 			is.Equal(got, c.want)
 			is.Equal(some, c.some)
 		})
--- a/entry/internal/dispatcher/organisation.go
+++ b/entry/internal/dispatcher/organisation.go
@@ -31,7 +31,7 @@
 		return &out
 	}
 	j.organisation = organisation
-	regions, some := planner.Common(j.route.GetRegions(), organisation.GetRegions())
+	regions, some := planner.CommonRegions(j.route.GetRegions(), organisation.GetRegions())
 	if !some {
 		out := refuse(http.StatusServiceUnavailable, "regions", j.started.Add(regionsRetry))
 		return &out
