--- a/core/balancer/balancer.go
+++ b/core/balancer/balancer.go
@@ -39,8 +39,8 @@
 	Region      string
 	Zone        string
 	Slots       int32
-	// Since is when this run of the target was first seen; its cache is cold then.
-	Since time.Time
+	// FirstSeen is when this run of the target was first seen; its cache is cold then.
+	FirstSeen time.Time
 
 	// own is how many of the slots belong to this instance.
 	own         atomic.Int32
@@ -104,7 +104,7 @@
 // room is how many requests this instance may have outstanding there now: a cold target starts with
 // a part of its slots, so that a wave of misses does not bury it.
 func (u *Target) room(now time.Time) int32 {
-	age := now.Sub(u.Since)
+	age := now.Sub(u.FirstSeen)
 	own := u.Own()
 	if age >= WarmUp || own == 0 {
 		return own
@@ -116,7 +116,7 @@
 // half idle: its owners find their slots taken otherwise, and what they send is shed.
 func (u *Target) borrowed(now time.Time) int32 {
 	r := u.report.Load()
-	if r == nil || now.Sub(r.At) >= ReportAge || now.Sub(u.Since) < WarmUp || 2*r.Load >= u.Slots {
+	if r == nil || now.Sub(r.At) >= ReportAge || now.Sub(u.FirstSeen) < WarmUp || 2*r.Load >= u.Slots {
 		return 0
 	}
 	return min(u.Own()+1, u.Slots)
--- a/core/balancer/balancer_test.go
+++ b/core/balancer/balancer_test.go
@@ -119,7 +119,7 @@
 
 func TestColdTargetRamps(t *testing.T) {
 	is := is.New(t)
-	u := &Target{Slots: 10, Since: start}
+	u := &Target{Slots: 10, FirstSeen: start}
 	u.SetOwn(10)
 	is.Equal(u.room(start), int32(1))
 	is.Equal(u.room(start.Add(WarmUp/2)), int32(5))
--- a/entry/internal/directory/targets.go
+++ b/entry/internal/directory/targets.go
@@ -73,7 +73,7 @@
 			Region:      r.GetRegion(),
 			Zone:        r.GetZone(),
 			Slots:       r.GetSlots(),
-			Since:       d.firstSeen(now),
+			FirstSeen:   d.firstSeen(now),
 		}
 		d.targets[r.GetName()] = u
 		d.stale = true
