--- a/core/balancer/balancer.go
+++ b/core/balancer/balancer.go
@@ -51,8 +51,8 @@
 	report       atomic.Pointer[Report]
 }
 
-// SetOwn says how many of the slots belong to this instance.
-func (u *Target) SetOwn(n int32) { u.own.Store(n) }
+// SetOwnSlots says how many of the slots belong to this instance.
+func (u *Target) SetOwnSlots(n int32) { u.own.Store(n) }
 
 // Own returns how many of the slots belong to this instance.
 func (u *Target) Own() int32 { return u.own.Load() }
--- a/core/balancer/balancer_test.go
+++ b/core/balancer/balancer_test.go
@@ -15,7 +15,7 @@
 	var all []*Target
 	for i := range n {
 		all = append(all, &Target{Name: fmt.Sprint("u", i), Region: "almaty", Slots: slots})
-		all[i].SetOwn(slots)
+		all[i].SetOwnSlots(slots)
 	}
 	return &Pool{Tiers: []Tier{{Region: "almaty", Targets: all}}}
 }
@@ -120,7 +120,7 @@
 func TestColdTargetRamps(t *testing.T) {
 	is := is.New(t)
 	u := &Target{Slots: 10, FirstSeen: start}
-	u.SetOwn(10)
+	u.SetOwnSlots(10)
 	is.Equal(u.room(start), int32(1))
 	is.Equal(u.room(start.Add(WarmUp/2)), int32(5))
 	is.Equal(u.room(start.Add(WarmUp)), int32(10))
--- a/entry/internal/directory/view.go
+++ b/entry/internal/directory/view.go
@@ -86,7 +86,7 @@
 		slots = append(slots, partitioner.Target{Name: u.Name, Region: u.Region, Slots: u.Slots})
 	}
 	for i, n := range partitioner.Partition(d.Instance, partitioner.NewMembers(partners), slots) {
-		members[i].SetOwn(n)
+		members[i].SetOwnSlots(n)
 	}
 }
 
--- a/entry/internal/forwarder/forwarder_test.go
+++ b/entry/internal/forwarder/forwarder_test.go
@@ -105,7 +105,7 @@
 	pool := &balancer.Pool{Tiers: []balancer.Tier{{Region: "almaty"}}}
 	for _, address := range targets {
 		u := &balancer.Target{Name: address, Address: netip.MustParseAddrPort(address), Region: "almaty", Slots: 4}
-		u.SetOwn(u.Slots)
+		u.SetOwnSlots(u.Slots)
 		pool.Tiers[0].Targets = append(pool.Tiers[0].Targets, u)
 	}
 	views := &fakeViews{&directory.View{
--- a/standin/internal/experimenter/policies.go
+++ b/standin/internal/experimenter/policies.go
@@ -109,7 +109,7 @@
 		tier.Targets = append(tier.Targets, u)
 	}
 	for i, n := range partitioner.Partition(in.name, partitioner.NewMembers(w.partners()), known) {
-		tier.Targets[i].SetOwn(n)
+		tier.Targets[i].SetOwnSlots(n)
 	}
 	in.pool = &balancer.Pool{Tiers: []balancer.Tier{tier}}
 	own := in.pool.Own(w.now)
--- a/standin/internal/sloper/measures.go
+++ b/standin/internal/sloper/measures.go
@@ -331,7 +331,7 @@
 		p := &balancer.Pool{Tiers: []balancer.Tier{{Region: "r"}}}
 		for i := range n {
 			u := &balancer.Target{Name: fmt.Sprint(i), Region: "r", Slots: 3}
-			u.SetOwn(u.Slots)
+			u.SetOwnSlots(u.Slots)
 			p.Tiers[0].Targets = append(p.Tiers[0].Targets, u)
 		}
 		b := &balancer.Balancer{Random: rand.New(rand.NewPCG(1, 23)).Uint64}
