--- a/core/balancer/balancer.go
+++ b/core/balancer/balancer.go
@@ -54,8 +54,8 @@
 // SetOwnSlots says how many of the slots belong to this instance.
 func (u *Target) SetOwnSlots(n int32) { u.own.Store(n) }
 
-// Own returns how many of the slots belong to this instance.
-func (u *Target) Own() int32 { return u.own.Load() }
+// OwnSlots returns how many of the slots belong to this instance.
+func (u *Target) OwnSlots() int32 { return u.own.Load() }
 
 // Outstanding returns how many requests of this instance the target works on.
 func (u *Target) Outstanding() int32 { return u.outstanding.Load() }
@@ -105,7 +105,7 @@
 // a part of its slots, so that a wave of misses does not bury it.
 func (u *Target) room(now time.Time) int32 {
 	age := now.Sub(u.FirstSeen)
-	own := u.Own()
+	own := u.OwnSlots()
 	if age >= WarmUp || own == 0 {
 		return own
 	}
@@ -119,13 +119,13 @@
 	if r == nil || now.Sub(r.At) >= ReportAge || now.Sub(u.FirstSeen) < WarmUp || 2*r.Load >= u.Slots {
 		return 0
 	}
-	return min(u.Own()+1, u.Slots)
+	return min(u.OwnSlots()+1, u.Slots)
 }
 
 // cost compares targets: outstanding work by slot. A fresh report only breaks ties, because every
 // instance sees the same one and would otherwise follow it at once to the same target.
 func (u *Target) cost(now time.Time) int64 {
-	slots := int64(max(1, u.Own()))
+	slots := int64(max(1, u.OwnSlots()))
 	cost := int64(u.outstanding.Load()) * scale * scale / slots
 	if r := u.report.Load(); r != nil && now.Sub(r.At) < ReportAge {
 		cost += min(int64(r.Load)*scale/slots, scale*scale/slots-1)
@@ -153,7 +153,7 @@
 	for _, t := range p.Tiers {
 		for _, u := range t.Targets {
 			if !u.Ejected(now) {
-				sum += int(u.Own())
+				sum += int(u.OwnSlots())
 			}
 		}
 	}
@@ -165,7 +165,7 @@
 	sum := 0
 	for _, t := range p.Tiers {
 		for _, u := range t.Targets {
-			sum += int(max(0, u.borrowed(now)-u.Own()))
+			sum += int(max(0, u.borrowed(now)-u.OwnSlots()))
 		}
 	}
 	return sum
