--- a/core/balancer/balancer.go
+++ b/core/balancer/balancer.go
@@ -146,9 +146,9 @@
 	Targets []*Target
 }
 
-// Own returns how many slots of the pool belong to this instance, at targets that are not ejected. Were
+// OwnSlots returns how many slots of the pool belong to this instance, at targets that are not ejected. Were
 // those counted, requests would be let in for slots that can't be used, and wait there without an order.
-func (p *Pool) Own(now time.Time) int {
+func (p *Pool) OwnSlots(now time.Time) int {
 	sum := 0
 	for _, t := range p.Tiers {
 		for _, u := range t.Targets {
--- a/standin/internal/experimenter/policies.go
+++ b/standin/internal/experimenter/policies.go
@@ -112,7 +112,7 @@
 		tier.Targets[i].SetOwnSlots(n)
 	}
 	in.pool = &balancer.Pool{Tiers: []balancer.Tier{tier}}
-	own := in.pool.Own(w.now)
+	own := in.pool.OwnSlots(w.now)
 	in.limit.Bound(own, own+in.pool.Borrowable(w.now)/int(w.Entries))
 }
 
