--- a/core/balancer/balancer.go
+++ b/core/balancer/balancer.go
@@ -160,8 +160,8 @@
 	return sum
 }
 
-// Borrowable returns how many slots of other instances could be used now, by the fresh reports.
-func (p *Pool) Borrowable(now time.Time) int {
+// BorrowableSlots returns how many slots of other instances could be used now, by the fresh reports.
+func (p *Pool) BorrowableSlots(now time.Time) int {
 	sum := 0
 	for _, t := range p.Tiers {
 		for _, u := range t.Targets {
