--- a/core/keeper/errors.go
+++ b/core/keeper/errors.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// StateError says that a snapshot could not be written or read.
+// StateError reports that a snapshot could not be encoded or decoded.
 type StateError struct {
 	Action string
 	Cause  error
@@ -11,5 +11,5 @@
 // Error implements error.
 func (e *StateError) Error() string { return fmt.Sprintf("%s state: %v", e.Action, e.Cause) }
 
-// Unwrap returns the codec's error.
+// Unwrap returns the error of the protobuf codec.
 func (e *StateError) Unwrap() error { return e.Cause }
--- a/core/keeper/holders.go
+++ b/core/keeper/holders.go
@@ -8,8 +8,8 @@
 	"chervilrail.example/core/wire"
 )
 
-// Holders returns the entry instances that may hold parts of quotas, in the order in which they were listed. A new leader
-// asks them what they hold before it gives out more.
+// Holders returns the entry instances that may hold parts of quotas, in the order in which they were added. A new
+// leader requests their holdings before it allots more than the base amount.
 func (k *Keeper) Holders() []*wire.QuotaHolder { return k.holders }
 
 func (k *Keeper) changeHolder(c *wire.HolderChange) {
@@ -22,16 +22,18 @@
 	}
 }
 
-// Stretched returns the organisations whose parts may add up to their whole quotas, sorted. Those of all others stay within
-// the usual part, so that a new leader has the rest to give before it has heard every holder.
+// Stretched returns the organisations whose parts may add up to their whole quotas, sorted by name. The parts of all
+// other organisations add up to the base amount at most, so that a new leader can allot the rest before all holders
+// have reported to it.
 func (k *Keeper) Stretched() []string { return k.stretched }
 
-// stretch returns the organisations that were otherwise before.
-func (k *Keeper) stretch(c *wire.StretchChange) []string {
+// changeStretched adds organisations to the stretched ones or removes them, and returns those for which this changed
+// anything.
+func (k *Keeper) changeStretched(c *wire.StretchChange) []string {
 	var changed []string
 	for _, name := range c.GetOrganisations() {
-		next, other := switched(k.stretched, name, c.GetOn())
-		if other {
+		next, differs := setMember(k.stretched, name, c.GetOn())
+		if differs {
 			k.stretched = next
 			changed = append(changed, name)
 		}
@@ -39,14 +41,14 @@
 	return changed
 }
 
-// switched returns a sorted list with or without a name, and whether it was otherwise before. The list itself is in use
-// elsewhere and stays as it is.
-func switched(list []string, name string, on bool) ([]string, bool) {
+// setMember returns a sorted list with or without a name, and whether that differs from the given list. The given list
+// is not modified, because callers of Stretched and EvacuatedZones may still use it.
+func setMember(list []string, name string, member bool) ([]string, bool) {
 	at, found := slices.BinarySearch(list, name)
 	switch {
-	case on == found:
+	case member == found:
 		return list, false
-	case on:
+	case member:
 		return slices.Insert(slices.Clone(list), at, name), true
 	}
 	return slices.Delete(slices.Clone(list), at, at+1), true
--- a/core/keeper/keeper.go
+++ b/core/keeper/keeper.go
@@ -1,5 +1,6 @@
-// Package keeper is the replicated state machine: the catalogue and the routing plan in force, the verdicts on
-// changes, evacuations, and the ledger of claims. Equal commands in equal order give equal states.
+// Package keeper implements the replicated state machine of the controllers. Its state consists of the catalogue and
+// the routing plan in force, the verdicts on changes, evacuations, the possible holders of quota parts, and the ledger
+// of claims. It is deterministic: equal commands in equal order give equal states.
 package keeper
 
 import (
@@ -11,22 +12,27 @@
 	"chervilrail.example/core/wire"
 )
 
-// Remembered is how many verdicts are kept for resends. At 4,900 changes a day that is over three days.
-const Remembered = 16384
+// MaxVerdicts is how many verdicts are kept so that resent changes get the same answer. At 4,900 changes a day they
+// cover more than three days.
+const MaxVerdicts = 16384
 
-// Keeper holds the state. Its zero value is the empty state.
+// Keeper holds the state. Its zero value is the empty state. It is not safe for concurrent use.
 type Keeper struct {
 	Ledger claimer.Ledger
 
-	at        int64
-	number    uint64
-	id        string
+	// clock is the highest time of an applied command, in milliseconds since the epoch.
+	clock           int64
+	catalogueNumber uint64
+	// changeID identifies the change that put the catalogue in force.
+	changeID  string
 	catalogue []byte
-	answers   map[string]*wire.Verdict
-	order     []string
+	// verdicts are by the id of the change; verdictOrder lists these ids, oldest first.
+	verdicts     map[string]*wire.Verdict
+	verdictOrder []string
 
-	plan        *wire.Plan
-	evacuated   []string
+	plan           *wire.Plan
+	evacuatedZones []string
+	// digests identify all accepted plan changes; digestOrder lists them, oldest first.
 	digests     map[string]bool
 	digestOrder [][]byte
 	holders     []*wire.QuotaHolder
@@ -34,23 +40,23 @@
 }
 
 // CatalogueNumber returns the number of the catalogue in force.
-func (k *Keeper) CatalogueNumber() uint64 { return k.number }
+func (k *Keeper) CatalogueNumber() uint64 { return k.catalogueNumber }
 
 // Catalogue returns the text of the catalogue in force.
 func (k *Keeper) Catalogue() []byte { return k.catalogue }
 
-// Apply runs one command.
+// Apply applies one committed command and returns its result.
 func (k *Keeper) Apply(c *wire.Command) *wire.Result {
-	// Leaders' clocks differ; a time that ran backwards would bring an expired key back to life.
-	k.at = max(k.at, c.GetAt())
-	at := time.UnixMilli(k.at)
+	// The clocks of successive leaders differ. If time went backwards, an expired key would become valid again.
+	k.clock = max(k.clock, c.GetAt())
+	now := time.UnixMilli(k.clock)
 	switch {
 	case c.GetChange() != nil:
-		return &wire.Result{Verdict: k.change(c.GetChange())}
+		return &wire.Result{Verdict: k.changeCatalogue(c.GetChange())}
 	case c.GetClaim() != nil:
-		return &wire.Result{Claim: k.Ledger.Claim(at, c.GetClaim())}
+		return &wire.Result{Claim: k.Ledger.Claim(now, c.GetClaim())}
 	case c.GetSettle() != nil:
-		return &wire.Result{Claim: k.Ledger.Settle(at, c.GetSettle())}
+		return &wire.Result{Claim: k.Ledger.Settle(now, c.GetSettle())}
 	case c.GetPlan() != nil:
 		return &wire.Result{Plan: k.changePlan(c.GetPlan())}
 	case c.GetEvacuation() != nil:
@@ -58,62 +64,62 @@
 	case c.GetHolder() != nil:
 		k.changeHolder(c.GetHolder())
 	case c.GetStretch() != nil:
-		return &wire.Result{Changed: k.stretch(c.GetStretch())}
+		return &wire.Result{Changed: k.changeStretched(c.GetStretch())}
 	case c.GetRead():
 		return &wire.Result{Current: k.plan}
 	}
 	return &wire.Result{}
 }
 
-func (k *Keeper) change(c *wire.Change) *wire.Verdict {
-	if v, ok := k.answers[c.GetId()]; ok {
+func (k *Keeper) changeCatalogue(c *wire.Change) *wire.Verdict {
+	if v, ok := k.verdicts[c.GetId()]; ok {
 		return v
 	}
-	v := k.judge(c)
-	k.remember(c.GetId(), v)
+	v := k.decide(c)
+	k.recordVerdict(c.GetId(), v)
 	return v
 }
 
-// judge accepts exactly one change of each number. The text was checked before it was proposed: checked
-// here, two releases with different rules would reach different states during an upgrade.
-func (k *Keeper) judge(c *wire.Change) *wire.Verdict {
-	if c.GetNumber() != k.number+1 {
-		return &wire.Verdict{Number: k.number, Winner: k.id, Reason: "number"}
+// decide accepts exactly one change of each number. The text of the catalogue is checked before the change is proposed
+// and not here: during an upgrade, releases with different rules would reach different states.
+func (k *Keeper) decide(c *wire.Change) *wire.Verdict {
+	if c.GetNumber() != k.catalogueNumber+1 {
+		return &wire.Verdict{Number: k.catalogueNumber, Winner: k.changeID, Reason: "number"}
 	}
-	k.number = c.GetNumber()
-	k.id = c.GetId()
+	k.catalogueNumber = c.GetNumber()
+	k.changeID = c.GetId()
 	k.catalogue = c.GetCatalogue()
-	return &wire.Verdict{Accepted: true, Number: k.number, Winner: k.id}
+	return &wire.Verdict{Accepted: true, Number: k.catalogueNumber, Winner: k.changeID}
 }
 
-func (k *Keeper) remember(id string, v *wire.Verdict) {
-	if k.answers == nil {
-		k.answers = map[string]*wire.Verdict{}
+func (k *Keeper) recordVerdict(id string, v *wire.Verdict) {
+	if k.verdicts == nil {
+		k.verdicts = map[string]*wire.Verdict{}
 	}
-	k.answers[id] = v
-	k.order = append(k.order, id)
-	if len(k.order) > Remembered {
-		delete(k.answers, k.order[0])
-		k.order = k.order[1:]
+	k.verdicts[id] = v
+	k.verdictOrder = append(k.verdictOrder, id)
+	if len(k.verdictOrder) > MaxVerdicts {
+		delete(k.verdicts, k.verdictOrder[0])
+		k.verdictOrder = k.verdictOrder[1:]
 	}
 }
 
 // Snapshot encodes the whole state.
 func (k *Keeper) Snapshot() ([]byte, error) {
 	s := &wire.State{
-		At:        k.at,
-		Number:    k.number,
-		Id:        k.id,
+		At:        k.clock,
+		Number:    k.catalogueNumber,
+		Id:        k.changeID,
 		Catalogue: k.catalogue,
 		Claims:    k.Ledger.Snapshot(),
 		Plan:      k.plan,
 		Digests:   k.digestOrder,
-		Evacuated: k.evacuated,
+		Evacuated: k.evacuatedZones,
 		Holders:   k.holders,
 		Stretched: k.stretched,
 	}
-	for _, id := range k.order {
-		s.Answers = append(s.Answers, &wire.Answer{Id: id, Verdict: k.answers[id]})
+	for _, id := range k.verdictOrder {
+		s.Answers = append(s.Answers, &wire.Answer{Id: id, Verdict: k.verdicts[id]})
 	}
 	data, err := proto.MarshalOptions{Deterministic: true}.Marshal(s)
 	if err != nil {
@@ -122,21 +128,21 @@
 	return data, nil
 }
 
-// Restore replaces the state by a snapshot.
+// Restore replaces the state with a snapshot.
 func (k *Keeper) Restore(data []byte) error {
 	s := &wire.State{}
 	if err := proto.Unmarshal(data, s); err != nil {
 		return &StateError{Action: "decode", Cause: err}
 	}
-	k.at = s.GetAt()
-	k.number = s.GetNumber()
-	k.id = s.GetId()
+	k.clock = s.GetAt()
+	k.catalogueNumber = s.GetNumber()
+	k.changeID = s.GetId()
 	k.catalogue = s.GetCatalogue()
-	k.answers = map[string]*wire.Verdict{}
-	k.order = nil
+	k.verdicts = map[string]*wire.Verdict{}
+	k.verdictOrder = nil
 	for _, a := range s.GetAnswers() {
-		k.answers[a.GetId()] = a.GetVerdict()
-		k.order = append(k.order, a.GetId())
+		k.verdicts[a.GetId()] = a.GetVerdict()
+		k.verdictOrder = append(k.verdictOrder, a.GetId())
 	}
 	k.Ledger.Restore(s.GetClaims())
 	k.restorePlan(s)
--- a/core/keeper/plan.go
+++ b/core/keeper/plan.go
@@ -5,14 +5,15 @@
 	"chervilrail.example/core/wire"
 )
 
-// Plan returns the routing plan in force, or nil before the first.
+// Plan returns the routing plan in force, or nil if none has been accepted yet.
 func (k *Keeper) Plan() *wire.Plan { return k.plan }
 
-// EvacuatedZones returns the availability zones whose targets get no requests, sorted.
-func (k *Keeper) EvacuatedZones() []string { return k.evacuated }
+// EvacuatedZones returns the availability zones whose targets get no requests, sorted by name.
+func (k *Keeper) EvacuatedZones() []string { return k.evacuatedZones }
 
-// changePlan accepts a change on top of the version in force. One that was accepted before is acknowledged
-// again, however long ago: its sender lost the answer, and a refusal would tell it that the change is not in force.
+// changePlan accepts a valid change that is based on the version in force. A resend of an accepted change is
+// acknowledged again, however long ago it was accepted: its sender did not get the answer, and would take a refusal to
+// mean that the change was never in force.
 func (k *Keeper) changePlan(c *wire.PlanChange) *wire.PlanVerdict {
 	current := k.plan.GetVersion()
 	if k.digests[string(c.GetDigest())] {
@@ -33,11 +34,11 @@
 		return &wire.PlanVerdict{Outcome: wire.PlanOutcome_PLAN_INVALID, Version: current, Reason: err.Error()}
 	}
 	k.plan = next
-	k.rememberDigest(c.GetDigest())
+	k.recordDigest(c.GetDigest())
 	return &wire.PlanVerdict{Outcome: wire.PlanOutcome_PLAN_ACCEPTED, Version: next.GetVersion()}
 }
 
-func (k *Keeper) rememberDigest(digest []byte) {
+func (k *Keeper) recordDigest(digest []byte) {
 	if k.digests == nil {
 		k.digests = map[string]bool{}
 	}
@@ -46,15 +47,15 @@
 }
 
 func (k *Keeper) evacuate(e *wire.Evacuation) {
-	k.evacuated, _ = switched(k.evacuated, e.GetZone(), e.GetOn())
+	k.evacuatedZones, _ = setMember(k.evacuatedZones, e.GetZone(), e.GetOn())
 }
 
 func (k *Keeper) restorePlan(s *wire.State) {
 	k.plan = s.GetPlan()
-	k.evacuated = s.GetEvacuated()
+	k.evacuatedZones = s.GetEvacuated()
 	k.digests = nil
 	k.digestOrder = nil
 	for _, d := range s.GetDigests() {
-		k.rememberDigest(d)
+		k.recordDigest(d)
 	}
 }
--- a/core/keeper/plan_test.go
+++ b/core/keeper/plan_test.go
@@ -20,7 +20,8 @@
 
 func outcome(k *Keeper, c *wire.Command) wire.PlanOutcome { return k.Apply(c).GetPlan().GetOutcome() }
 
-// Two operators build on the same version. Both told that they won, one of them would find its change gone.
+// Two operators send changes based on the same version. If both were accepted, one change would be lost without its
+// sender being informed.
 func TestOneOfTwoChangesOnOneBaseWins(t *testing.T) {
 	is := is.New(t)
 	k := &Keeper{}
@@ -31,8 +32,9 @@
 	is.Equal(k.Plan().GetVersion(), uint64(5))
 }
 
-// The answer to an accepted change is lost, and its sender asks again after others have changed the plan, the
-// controllers have restarted from a snapshot, or both. A refusal would tell it that its change was never in force.
+// The answer to an accepted change is lost, and its sender resends it after others have changed the plan, the
+// controllers have restarted from a snapshot, or both. A refusal would mean to the sender that its change was never in
+// force.
 func TestAcceptedChangesAreAcknowledgedForEver(t *testing.T) {
 	is := is.New(t)
 	k := &Keeper{}
@@ -49,7 +51,7 @@
 	is.Equal(restored.Plan().GetVersion(), uint64(599))
 }
 
-func TestRefusedChangesLeaveNothing(t *testing.T) {
+func TestRefusedChangesHaveNoEffect(t *testing.T) {
 	is := is.New(t)
 	k := &Keeper{}
 	bad := put("bad", 0, 1)
@@ -77,7 +79,7 @@
 	is.Equal(k.EvacuatedZones(), []string{"a", "b"})
 }
 
-func TestReadsAnswerThePlanInForce(t *testing.T) {
+func TestReadsReturnThePlanInForce(t *testing.T) {
 	is := is.New(t)
 	k := &Keeper{}
 	is.Equal(k.Apply(&wire.Command{Read: true}).GetCurrent(), nil)
