--- a/core/storer/errors.go
+++ b/core/storer/errors.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// DamageError names the place where stored records can't be read although they were once synced.
+// DamageError reports stored records that were synced and can't be read or are missing. Offset is in bytes.
 type DamageError struct {
 	Path   string
 	Offset int64
@@ -15,7 +15,7 @@
 		e.Path, e.Offset, e.Reason)
 }
 
-// FileError says which file operation failed on which path.
+// FileError reports a file operation that failed.
 type FileError struct {
 	Action string
 	Path   string
@@ -27,7 +27,7 @@
 	return fmt.Sprintf("%s %s: %v", e.Action, e.Path, e.Cause)
 }
 
-// Unwrap returns the operating system's error.
+// Unwrap returns the error of the operating system or of the protobuf codec.
 func (e *FileError) Unwrap() error { return e.Cause }
 
 type formatError struct {
--- a/core/storer/hosts.go
+++ b/core/storer/hosts.go
@@ -12,13 +12,14 @@
 
 const hostsFile = "hosts"
 
-// HostStore keeps the objects' hosts in a file of their own. They are hints: lost ones cost slow runs, and neither reading nor
-// writing them may hold up what binds.
+// HostStore stores the hosts of objects in a file of its own. Hosts are hints: losing them only makes requests run more
+// slowly, so reading and writing them must not delay records that have to be durable.
 type HostStore struct {
 	Folder string
 }
 
-// Load reads the hosts that were last saved; none if there is no file.
+// Load returns the hosts that were saved last, and none if there is no file. It returns a DamageError if the file can't
+// be decoded.
 func (h *HostStore) Load() ([]*wire.Host, error) {
 	out := &wire.Hosts{}
 	err := readMessage(filepath.Join(h.Folder, hostsFile), out)
@@ -31,7 +32,7 @@
 	return out.GetHosts(), nil
 }
 
-// Save replaces the file.
+// Save replaces the file durably and atomically.
 func (h *HostStore) Save(list []*wire.Host) error {
 	data, err := proto.Marshal(&wire.Hosts{Hosts: list})
 	if err != nil {
--- a/core/storer/hosts_test.go
+++ b/core/storer/hosts_test.go
@@ -11,8 +11,8 @@
 	"chervilrail.example/core/wire"
 )
 
-// The power fails while hosts are written, or a disk hands back other bytes. What can be read is read whole or refused;
-// half of a file taken for all of it would send requests to targets that never had their objects.
+// Guards against a damaged file that is read in part, after a power failure during a write or an error of the disk.
+// Requests would be sent to targets that never held their objects. A file is read completely or refused.
 func TestHostsFile(t *testing.T) {
 	is := is.New(t)
 	file := &HostStore{Folder: t.TempDir()}
@@ -26,9 +26,11 @@
 	is.Equal(len(list), 1)
 	is.Equal(list[0].GetObject(), uint64(8))
 	path := filepath.Join(file.Folder, hostsFile)
-	whole, err := os.ReadFile(path)
+	contents, err := os.ReadFile(path)
 	is.NoErr(err)
-	for name, data := range map[string][]byte{"torn": whole[:len(whole)-2], "empty": {}, "other": []byte("0123456789abcdef")} {
+	for name, data := range map[string][]byte{
+		"torn": contents[:len(contents)-2], "empty": {}, "other": []byte("0123456789abcdef"),
+	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			is.NoErr(os.WriteFile(path, data, fileMode))
--- a/core/storer/record.go
+++ b/core/storer/record.go
@@ -23,15 +23,16 @@
 )
 
 const (
-	headerSize = 9
-	maxRecord  = 256 << 20
-	serialBase = 10
-	serialBits = 64
+	headerSize    = 9
+	maxRecordSize = 256 << 20
+	serialBase    = 10
+	serialBits    = 64
 )
 
 var checksums = crc32.MakeTable(crc32.Castagnoli)
 
-// record is a length, a checksum over kind and data, the kind and the data. A batch's data are parts.
+// record is encoded as the length of the data, a checksum over kind, length and data, the kind, and the data. The data
+// of a batch consist of parts.
 type record struct {
 	kind recordKind
 	data []byte
@@ -48,7 +49,7 @@
 func marshal(m proto.Message) []byte {
 	data, err := proto.Marshal(m)
 	if err != nil {
-		// Marshalling fails only for invalid UTF-8, which the parsers of all inputs reject before.
+		// Marshalling fails only for invalid UTF-8, which the parsers of all inputs have already rejected.
 		panic(fmt.Sprintf("storer: encode record: %v", err))
 	}
 	return data
@@ -61,12 +62,12 @@
 	return append(buffer, data...)
 }
 
-// partHeader is a part's kind and length.
-const partHeader = 5
+// partHeaderSize is the size of a part's kind and length in bytes.
+const partHeaderSize = 5
 
-// appendPart adds one part of a batch. Parts have no checksum of their own: they count together or not at all. A write
-// that power loss tore in its middle could otherwise leave a valid record behind a bad one, which looks like damage to
-// what was acknowledged and keeps the controller from starting.
+// appendPart appends one part of a batch. Parts have no checksum of their own: a batch is valid as a whole or not at
+// all. A write torn by a power failure could otherwise leave a valid record after an invalid one, which is
+// indistinguishable from damage to acknowledged records and would prevent the controller from starting.
 func appendPart(buffer []byte, kind recordKind, m proto.Message) []byte {
 	data := marshal(m)
 	buffer = append(buffer, byte(kind))
@@ -74,22 +75,22 @@
 	return append(buffer, data...)
 }
 
-// parts takes a batch apart; any other record is its own only part.
-func parts(r record) ([]record, error) {
+// splitBatch returns the parts of a batch. Any other record is returned as the only part.
+func splitBatch(r record) ([]record, error) {
 	if r.kind != recordBatch {
 		return []record{r}, nil
 	}
 	var out []record
 	for data := r.data; len(data) > 0; {
-		if len(data) < partHeader {
+		if len(data) < partHeaderSize {
 			return nil, &formatError{"part's header cut short"}
 		}
 		size := int(binary.LittleEndian.Uint32(data[1:]))
-		if size > len(data)-partHeader {
+		if size > len(data)-partHeaderSize {
 			return nil, &formatError{"part cut short"}
 		}
-		out = append(out, record{recordKind(data[0]), data[partHeader : partHeader+size]})
-		data = data[partHeader+size:]
+		out = append(out, record{recordKind(data[0]), data[partHeaderSize : partHeaderSize+size]})
+		data = data[partHeaderSize+size:]
 	}
 	return out, nil
 }
@@ -105,7 +106,7 @@
 		return record{}, 0, &formatError{"header cut short"}
 	}
 	size := int(binary.LittleEndian.Uint32(data))
-	if size > maxRecord || headerSize+size > len(data) {
+	if size > maxRecordSize || headerSize+size > len(data) {
 		return record{}, 0, &formatError{"record cut short"}
 	}
 	kind := recordKind(data[8])
@@ -116,8 +117,8 @@
 	return record{kind, payload}, headerSize + size, nil
 }
 
-// validAfter reports whether any whole record stands after a bad one.
-func validAfter(data []byte) bool {
+// validRecordAfter reports whether data, which begin with an invalid record, contain a valid record at a later offset.
+func validRecordAfter(data []byte) bool {
 	for at := 1; at+headerSize <= len(data); at++ {
 		kind := recordKind(data[at+8])
 		if kind < recordVote || kind > recordBatch {
--- a/core/storer/recovery.go
+++ b/core/storer/recovery.go
@@ -11,7 +11,7 @@
 	"chervilrail.example/core/wire"
 )
 
-// Recovered is what a data folder held when it was opened.
+// Recovered is the content of a data folder when it was opened. Identity and Snapshot are nil if none was stored.
 type Recovered struct {
 	Identity *wire.Identity
 	Vote     *wire.Vote
@@ -69,18 +69,19 @@
 			return err
 		}
 	}
-	return s.checkGap(out)
+	return s.checkContinuity(out)
 }
 
-// checkGap refuses a log that does not join its snapshot: entries would silently be missing between.
-func (s *Storer) checkGap(out *Recovered) error {
+// checkContinuity refuses a log that does not continue its snapshot, because entries between them would be missing. It
+// drops a log that the snapshot replaced.
+func (s *Storer) checkContinuity(out *Recovered) error {
 	if len(out.Entries) == 0 {
 		return nil
 	}
 	if out.Entries[0].GetTerm() < out.Snapshot.GetTerm() {
-		// A crash came after a leader's snapshot was stored and before the log it replaces was dropped.
-		// Kept, the old tail would hide the snapshot's term, and this replica could vote for a
-		// candidate that lacks what the snapshot holds.
+		// The replica crashed after it stored a snapshot from a leader and before it dropped the log that the
+		// snapshot replaces. If the old entries were kept, the last one would hide the snapshot's term, and this
+		// replica could vote for a candidate that lacks the content of the snapshot.
 		out.Entries = nil
 		return nil
 	}
@@ -103,9 +104,9 @@
 	for offset < len(data) {
 		record, size, err := decodeRecord(data[offset:])
 		if err != nil {
-			return s.judgeTail(path, data, offset, newest, err)
+			return s.recoverTail(path, data, offset, newest, err)
 		}
-		if err := s.recallAll(serial, record, out); err != nil {
+		if err := s.replayRecord(serial, record, out); err != nil {
 			return &DamageError{Path: path, Offset: int64(offset), Reason: err.Error()}
 		}
 		offset += size
@@ -113,18 +114,19 @@
 	return nil
 }
 
-// judgeTail tells a write that a crash cut short, which was never acknowledged, from damage to records
-// that were. Dropping the latter would undo an accepted change, so the replica refuses to start.
-func (s *Storer) judgeTail(path string, data []byte, offset int, newest bool, cause error) error {
-	if !newest || validAfter(data[offset:]) {
+// recoverTail truncates a segment at an invalid record if a crash interrupted its write, so that it was never
+// acknowledged. Otherwise, acknowledged records are damaged: dropping them would undo an accepted change, so the
+// replica refuses to start.
+func (s *Storer) recoverTail(path string, data []byte, offset int, newest bool, cause error) error {
+	if !newest || validRecordAfter(data[offset:]) {
 		return &DamageError{Path: path, Offset: int64(offset), Reason: cause.Error()}
 	}
-	return cutFile(path, int64(offset))
+	return truncateFile(path, int64(offset))
 }
 
-// cutFile syncs after it truncates: the cut tail could otherwise come back after a power loss, behind
-// which newer segments stand, and look like damage to acknowledged records.
-func cutFile(path string, size int64) error {
+// truncateFile syncs after truncating. The removed tail could otherwise reappear after a power failure, when newer
+// segments follow, and look like damage to acknowledged records.
+func truncateFile(path string, size int64) error {
 	file, err := os.OpenFile(path, os.O_WRONLY, fileMode)
 	if err != nil {
 		return &FileError{Action: "open", Path: path, Cause: err}
@@ -139,20 +141,20 @@
 	return nil
 }
 
-func (s *Storer) recallAll(serial uint64, r record, out *Recovered) error {
-	all, err := parts(r)
+func (s *Storer) replayRecord(serial uint64, r record, out *Recovered) error {
+	parts, err := splitBatch(r)
 	if err != nil {
 		return err
 	}
-	for _, part := range all {
-		if err := s.recall(serial, part, out); err != nil {
+	for _, part := range parts {
+		if err := s.replayPart(serial, part, out); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (s *Storer) recall(serial uint64, r record, out *Recovered) error {
+func (s *Storer) replayPart(serial uint64, r record, out *Recovered) error {
 	switch r.kind {
 	case recordVote:
 		vote := &wire.Vote{}
@@ -165,8 +167,8 @@
 		if err := proto.Unmarshal(r.data, e); err != nil {
 			return err
 		}
-		s.last[serial] = max(s.last[serial], e.GetIndex())
-		out.Entries = place(out.Entries, e, out.Snapshot.GetIndex())
+		s.lastIndexes[serial] = max(s.lastIndexes[serial], e.GetIndex())
+		out.Entries = appendEntry(out.Entries, e, out.Snapshot.GetIndex())
 	case recordReset:
 		out.Entries = nil
 	case recordSnapshot, recordIdentity, recordBatch, recordHosts:
@@ -175,8 +177,9 @@
 	return nil
 }
 
-// place puts an entry in order; a rewritten index drops what stood there and after it.
-func place(entries []*wire.Entry, e *wire.Entry, base uint64) []*wire.Entry {
+// appendEntry appends an entry to the log. If its index is already present, the existing entries from that index on are
+// replaced. Entries up to base are covered by the snapshot and ignored.
+func appendEntry(entries []*wire.Entry, e *wire.Entry, base uint64) []*wire.Entry {
 	if e.GetIndex() <= base {
 		return entries
 	}
--- a/core/storer/storer.go
+++ b/core/storer/storer.go
@@ -1,5 +1,5 @@
-// Package storer keeps a replica's identity, votes, log and snapshots under one data folder.
-// Whatever Save returned for without an error survives a power cut.
+// Package storer stores a replica's identity, votes, log and snapshots in one data folder. Data survive a power failure
+// once the call that saves them has returned without an error.
 package storer
 
 import (
@@ -17,29 +17,34 @@
 	identityFile   = "identity"
 	segmentPrefix  = "log-"
 	snapshotPrefix = "snapshot-"
-	segmentLimit   = 8 << 20
-	folderMode     = 0o750
-	fileMode       = 0o640
+	// segmentLimit is the size in bytes at which a new segment is started.
+	segmentLimit = 8 << 20
+	folderMode   = 0o750
+	fileMode     = 0o640
 )
 
-// Storer writes to one data folder. Set Folder, then call Open.
+// Storer writes to one data folder. Set Folder, then call Open. It is not safe for concurrent use.
 type Storer struct {
 	Folder string
 
-	segment *os.File
-	serial  uint64
-	size    int64
-	vote    *wire.Vote
-	last    map[uint64]uint64
-	failed  error
+	// segment is the file being written, serial its number, and segmentSize its size in bytes.
+	segment     *os.File
+	serial      uint64
+	segmentSize int64
+	vote        *wire.Vote
+	// lastIndexes holds the highest index of an entry in each segment, by serial.
+	lastIndexes map[uint64]uint64
+	// failure is the first failed write; nothing is written after it.
+	failure error
 }
 
-// Open reads the folder; an empty or absent folder gives an empty Recovered.
+// Open reads the folder, creating it if necessary, and starts a new segment. An empty or absent folder gives an empty
+// Recovered. Damage to acknowledged records is reported as a DamageError.
 func (s *Storer) Open() (*Recovered, error) {
 	if err := os.MkdirAll(s.Folder, folderMode); err != nil {
 		return nil, &FileError{Action: "create", Path: s.Folder, Cause: err}
 	}
-	s.last = map[uint64]uint64{}
+	s.lastIndexes = map[uint64]uint64{}
 	out := &Recovered{Vote: &wire.Vote{}}
 	identity, err := s.readIdentity()
 	if err != nil {
@@ -65,10 +70,11 @@
 	return s.replaceFile(identityFile, encodeRecord(recordIdentity, data))
 }
 
-// Save makes a vote and entries durable with one write and one sync.
+// Save makes a vote and entries durable with one write and one sync. The vote may be nil. After a failed write, every
+// further call returns the same error.
 func (s *Storer) Save(vote *wire.Vote, entries []*wire.Entry) error {
-	if s.failed != nil {
-		return s.failed
+	if s.failure != nil {
+		return s.failure
 	}
 	var batch []byte
 	if vote != nil {
@@ -77,7 +83,7 @@
 	}
 	for _, e := range entries {
 		batch = appendPart(batch, recordEntry, e)
-		s.last[s.serial] = max(s.last[s.serial], e.GetIndex())
+		s.lastIndexes[s.serial] = max(s.lastIndexes[s.serial], e.GetIndex())
 	}
 	if len(batch) == 0 {
 		return nil
@@ -85,33 +91,33 @@
 	if err := s.write(encodeRecord(recordBatch, batch)); err != nil {
 		return err
 	}
-	if s.size < segmentLimit {
+	if s.segmentSize < segmentLimit {
 		return nil
 	}
 	return s.rotate()
 }
 
-// write remembers a failure for good: after a failed sync the kernel may drop the pages and report
-// success the next time, and an entry would be acknowledged that no disk holds.
+// write makes a failure permanent: after a failed sync the kernel may drop the dirty pages and report success for the
+// next sync, and an entry that is not on disk would be acknowledged.
 func (s *Storer) write(buffer []byte) error {
 	path := s.segment.Name()
 	if _, err := s.segment.Write(buffer); err != nil {
-		s.failed = &FileError{Action: "write", Path: path, Cause: err}
-		return s.failed
+		s.failure = &FileError{Action: "write", Path: path, Cause: err}
+		return s.failure
 	}
 	if err := s.segment.Sync(); err != nil {
-		s.failed = &FileError{Action: "sync", Path: path, Cause: err}
-		return s.failed
+		s.failure = &FileError{Action: "sync", Path: path, Cause: err}
+		return s.failure
 	}
-	s.size += int64(len(buffer))
+	s.segmentSize += int64(len(buffer))
 	return nil
 }
 
-// SaveSnapshot makes a snapshot durable and drops the log that it covers. With reset, what the log
-// holds after it is dropped too: that is the case when a leader sent the snapshot.
+// SaveSnapshot makes a snapshot durable and removes the segments that it covers. With reset, later entries of the log
+// are dropped as well, as is needed when a leader sent the snapshot.
 func (s *Storer) SaveSnapshot(snapshot *wire.Snapshot, reset bool) error {
-	if s.failed != nil {
-		return s.failed
+	if s.failure != nil {
+		return s.failure
 	}
 	data, err := proto.Marshal(snapshot)
 	if err != nil {
@@ -119,11 +125,11 @@
 	}
 	name := snapshotPrefix + formatSerial(snapshot.GetIndex())
 	if err := s.replaceFile(name, encodeRecord(recordSnapshot, data)); err != nil {
-		s.failed = err
+		s.failure = err
 		return err
 	}
 	if reset {
-		// The old log goes only after the snapshot is durable: a crash in between must leave one of them.
+		// The old log is dropped only once the snapshot is durable, so that a crash in between leaves one of them.
 		if err := s.write(encodeRecord(recordReset, nil)); err != nil {
 			return err
 		}
@@ -134,7 +140,7 @@
 	return s.prune(name, snapshot.GetIndex())
 }
 
-// prune removes older snapshots, and segments that hold nothing after the snapshot.
+// prune removes the snapshots older than keep, and the segments without entries after the snapshot's index.
 func (s *Storer) prune(keep string, index uint64) error {
 	names, err := s.list(snapshotPrefix)
 	if err != nil {
@@ -151,17 +157,17 @@
 	}
 	for _, name := range segments {
 		serial := parseSerial(name, segmentPrefix)
-		if serial == s.serial || s.last[serial] > index {
-			// Segments go oldest first: a gap would make a later vote or entry unreadable.
+		if serial == s.serial || s.lastIndexes[serial] > index {
+			// Segments are removed oldest first: a gap would make a later vote or entry unreadable.
 			break
 		}
 		_ = os.Remove(filepath.Join(s.Folder, name))
-		delete(s.last, serial)
+		delete(s.lastIndexes, serial)
 	}
 	return nil
 }
 
-// rotate starts a new segment that opens with the vote, so that older segments can be removed.
+// rotate starts a new segment, which begins with the current vote so that older segments can be removed.
 func (s *Storer) rotate() error {
 	if s.segment != nil {
 		if err := s.segment.Close(); err != nil {
@@ -175,14 +181,15 @@
 		return &FileError{Action: "create", Path: path, Cause: err}
 	}
 	s.segment = file
-	s.size = 0
+	s.segmentSize = 0
 	if err := s.write(appendMessage(nil, recordVote, s.vote)); err != nil {
 		return err
 	}
 	return s.syncFolder()
 }
 
-// replaceFile writes a whole file so that a crash leaves the old or the new one, never a part.
+// replaceFile replaces a file atomically and durably: after a crash, either the old or the new file is there
+// completely.
 func (s *Storer) replaceFile(name string, data []byte) error {
 	path := filepath.Join(s.Folder, name)
 	temporary := path + ".new"
@@ -234,7 +241,7 @@
 	return names, nil
 }
 
-// Close ends writing.
+// Close closes the current segment.
 func (s *Storer) Close() error {
 	if s.segment == nil {
 		return nil
--- a/core/storer/storer_test.go
+++ b/core/storer/storer_test.go
@@ -72,41 +72,41 @@
 	})
 }
 
-// newest returns the segment written last that holds entries.
-func newest(t *testing.T, s *Storer) string {
+// newestSegment returns the path of the segment being written.
+func newestSegment(t *testing.T, s *Storer) string {
 	t.Helper()
 	return filepath.Join(s.Folder, segmentPrefix+formatSerial(s.serial))
 }
 
-// The power fails in the middle of a write. What was acknowledged before must be there, and the cut
-// record, which nobody was told of, must not keep the controller from starting.
-func TestTornTailIsCut(t *testing.T) {
+// The power fails during a write. Records acknowledged before must be recovered, and the incomplete record, which was
+// never acknowledged, must not prevent the controller from starting.
+func TestTornTailIsTruncated(t *testing.T) {
 	is := is.New(t)
 	torn := appendMessage(nil, recordEntry, entry(3, 1))
 	for cut := 1; cut < len(torn); cut += 3 {
 		s, _ := openAt(t, t.TempDir())
 		is.NoErr(s.Save(nil, []*wire.Entry{entry(1, 1), entry(2, 1)}))
-		path := newest(t, s)
-		whole, err := os.ReadFile(path)
+		path := newestSegment(t, s)
+		contents, err := os.ReadFile(path)
 		is.NoErr(err)
-		is.NoErr(os.WriteFile(path, append(whole, torn[:cut]...), fileMode))
+		is.NoErr(os.WriteFile(path, append(contents, torn[:cut]...), fileMode))
 		_, r := openAt(t, s.Folder)
 		assertLast(t, r, 2, 1)
 	}
 }
 
-// Several entries are saved in one write, the power fails before the sync, and of the write's sectors only the later ones
-// reached the disk. Nobody was told of these entries; the controller must start with what was acknowledged before. When
-// it did not, an operator had to empty its disk by hand, and a second lost disk would have stopped all changes.
-func TestTornBatchIsCut(t *testing.T) {
+// Several entries are saved in one write, the power fails before the sync, and only the later sectors of the write
+// reached the disk. The entries were never acknowledged, so the controller must start with those acknowledged before.
+// If it refuses to, an operator has to clear its disk by hand, and the loss of a second disk would stop all changes.
+func TestTornBatchIsTruncated(t *testing.T) {
 	for torn := range 20 {
 		t.Run(fmt.Sprint(torn), func(t *testing.T) {
 			is := is.New(t)
 			s, _ := openAt(t, t.TempDir())
 			is.NoErr(s.Save(nil, []*wire.Entry{entry(1, 1), entry(2, 1)}))
-			at := s.size
+			at := s.segmentSize
 			is.NoErr(s.Save(&wire.Vote{Term: 2}, []*wire.Entry{entry(3, 2), entry(4, 2), entry(5, 2)}))
-			path := newest(t, s)
+			path := newestSegment(t, s)
 			data, err := os.ReadFile(path)
 			is.NoErr(err)
 			data[at+int64(torn)] ^= 0xff
@@ -118,8 +118,9 @@
 	}
 }
 
-// A controller starts with a disk that was written record by record, before writes became batches.
-func TestSingleRecordsAreRead(t *testing.T) {
+// A controller starts with a data folder written by an earlier release, which stored entries as single records instead
+// of batches.
+func TestUnbatchedRecordsAreRead(t *testing.T) {
 	is := is.New(t)
 	s, _ := openAt(t, t.TempDir())
 	is.NoErr(s.write(appendMessage(nil, recordEntry, entry(1, 1))))
@@ -128,17 +129,17 @@
 	assertLast(t, r, 2, 1)
 }
 
-// A bit flips in a record that was acknowledged. Starting without it would undo an accepted change, so the
-// controller refuses and names the file and the offset.
-func TestDamageInTheMiddleIsRefused(t *testing.T) {
+// A bit flips in an acknowledged record. Starting without the record would undo an accepted change, so the controller
+// refuses to start and reports the file and the offset.
+func TestDamagedAcknowledgedRecordIsRefused(t *testing.T) {
 	is := is.New(t)
 	folder := t.TempDir()
 	s, _ := openAt(t, folder)
 	is.NoErr(s.Save(nil, []*wire.Entry{entry(1, 1)}))
-	at := s.size
+	at := s.segmentSize
 	is.NoErr(s.Save(nil, []*wire.Entry{entry(2, 1)}))
 	is.NoErr(s.Save(nil, []*wire.Entry{entry(3, 1)}))
-	path := newest(t, s)
+	path := newestSegment(t, s)
 	data, err := os.ReadFile(path)
 	is.NoErr(err)
 	data[at+headerSize] ^= 1
@@ -150,8 +151,8 @@
 	is.Equal(damage.Offset, at)
 }
 
-// The disk fails while a record is synced. The kernel may forget the failure, so the next sync could
-// succeed without the data; nothing may be acknowledged any more.
+// A sync fails. The kernel may report the failure only once, so the next sync could succeed although data are missing.
+// Nothing may be acknowledged from then on.
 func TestFailedSyncIsFinal(t *testing.T) {
 	is := is.New(t)
 	s, _ := openAt(t, t.TempDir())
@@ -159,15 +160,15 @@
 	is.NoErr(s.segment.Close())
 	var failure *FileError
 	is.True(errors.As(s.Save(nil, []*wire.Entry{entry(2, 1)}), &failure))
-	reopened, err := os.OpenFile(newest(t, s), os.O_WRONLY|os.O_APPEND, fileMode)
+	reopened, err := os.OpenFile(newestSegment(t, s), os.O_WRONLY|os.O_APPEND, fileMode)
 	is.NoErr(err)
 	s.segment = reopened
 	is.True(errors.As(s.Save(nil, []*wire.Entry{entry(3, 1)}), &failure))
 }
 
-// A crash comes between storing a leader's snapshot and dropping the old log. The leftover tail must not
-// be taken for entries after the snapshot.
-func TestLeftoverTailIsDropped(t *testing.T) {
+// The replica crashes after it stored a snapshot from a leader and before it dropped the old log. The remaining entries
+// must not be taken for entries after the snapshot.
+func TestReplacedLogIsDropped(t *testing.T) {
 	is := is.New(t)
 	folder := t.TempDir()
 	s, _ := openAt(t, folder)
