--- a/core/registrar/errors.go
+++ b/core/registrar/errors.go
@@ -5,7 +5,7 @@
 	"strconv"
 )
 
-// AnnouncementError names the field of an announcement that can't be accepted.
+// AnnouncementError reports the field because of which an announcement was refused.
 type AnnouncementError struct {
 	Field    string
 	Expected string
@@ -17,4 +17,4 @@
 	return fmt.Sprintf("announcement: %s: expected %s, got %q", e.Field, e.Expected, e.Got)
 }
 
-func number(n int32) string { return strconv.Itoa(int(n)) }
+func formatNumber(n int32) string { return strconv.Itoa(int(n)) }
--- a/core/registrar/registrar.go
+++ b/core/registrar/registrar.go
@@ -1,4 +1,4 @@
-// Package registrar keeps the newest announcement of every target. It is owned by one goroutine.
+// Package registrar keeps the newest announcement of every target. A Registrar is not safe for concurrent use.
 package registrar
 
 import (
@@ -14,50 +14,51 @@
 )
 
 const (
-	// Lease is how long an announcement holds; targets announce again well before.
+	// Lease is how long an announcement is valid. Targets renew it well before it expires.
 	Lease = 6 * time.Second
-	// AnnouncementInterval is how often targets are asked to announce.
+	// AnnouncementInterval is the time between two announcements that targets are asked to keep.
 	AnnouncementInterval = time.Second
-	// MaxTargets bounds the register of one entry instance.
+	// MaxTargets is the highest number of targets that a Registrar holds.
 	MaxTargets = 100_000
 
-	// remember is how long the record of a silent target still wards off late announcements.
-	remember = time.Hour
-	maxName  = 128
-	maxSlots = 1 << 16
+	// retention is how long the record of a target is kept after its lease has expired. Until then, delayed older
+	// announcements are recognised and refused.
+	retention     = time.Hour
+	maxNameLength = 128
+	maxSlots      = 1 << 16
 )
 
 // Registrar holds the records. Its zero value is empty.
 type Registrar struct {
-	held map[string]*held
-	// places names the holder of each address.
-	places map[string]string
+	registrations map[string]*registration
+	// namesByAddress holds the name of the target that claimed each address last.
+	namesByAddress map[string]string
 }
 
-type held struct {
-	record *wire.Record
-	until  time.Time
+type registration struct {
+	record  *wire.Record
+	expires time.Time
 }
 
-// Check refuses an announcement that is malformed or that the catalogue does not allow.
+// Check returns an AnnouncementError if an announcement is malformed or the catalogue does not allow it.
 func Check(c *cataloguer.Catalogue, r *wire.Record) error {
 	if err := CheckFormat(r); err != nil {
 		return err
 	}
-	return checkPlace(c, r)
+	return checkAgainstCatalogue(c, r)
 }
 
-// CheckFormat refuses an announcement that no catalogue could allow.
+// CheckFormat returns an AnnouncementError if an announcement is malformed, whatever the catalogue allows.
 func CheckFormat(r *wire.Record) error {
 	switch {
-	case r.GetName() == "" || len(r.GetName()) > maxName:
+	case r.GetName() == "" || len(r.GetName()) > maxNameLength:
 		return &AnnouncementError{"name", "1 to 128 characters", r.GetName()}
 	case r.GetIncarnation() == 0:
 		return &AnnouncementError{"incarnation", "a number above 0 that grows with each start", "0"}
 	case r.GetSlots() < 1 || r.GetSlots() > maxSlots:
-		return &AnnouncementError{"slots", "1 to 65536", number(r.GetSlots())}
+		return &AnnouncementError{"slots", "1 to 65536", formatNumber(r.GetSlots())}
 	case r.GetLoad() < 0:
-		return &AnnouncementError{"load", "0 or more", number(r.GetLoad())}
+		return &AnnouncementError{"load", "0 or more", formatNumber(r.GetLoad())}
 	}
 	if _, err := netip.ParseAddrPort(r.GetAddress()); err != nil {
 		return &AnnouncementError{"address", "an IP number and port", r.GetAddress()}
@@ -65,7 +66,7 @@
 	return nil
 }
 
-func checkPlace(c *cataloguer.Catalogue, r *wire.Record) error {
+func checkAgainstCatalogue(c *cataloguer.Catalogue, r *wire.Record) error {
 	service, ok := c.Service(r.GetService())
 	if !ok {
 		return &AnnouncementError{"service", "a service of the catalogue", r.GetService()}
@@ -80,55 +81,57 @@
 	return nil
 }
 
-// Merge takes a record if it is newer than what is held, and reports whether it was.
+// Merge stores a record with a new lease and reports whether it did. It does not if the stored record of the same
+// target is as new or newer, if a target with a higher incarnation holds the address, or if MaxTargets is reached.
 func (g *Registrar) Merge(now time.Time, r *wire.Record) bool {
-	if g.held == nil {
-		g.held = map[string]*held{}
+	if g.registrations == nil {
+		g.registrations = map[string]*registration{}
 	}
-	old, ok := g.held[r.GetName()]
+	old, ok := g.registrations[r.GetName()]
 	if ok && !newer(old.record, r) {
 		return false
 	}
-	if !ok && len(g.held) >= MaxTargets {
+	if !ok && len(g.registrations) >= MaxTargets {
 		return false
 	}
-	if !g.takePlace(r) {
+	if !g.claimAddress(r) {
 		return false
 	}
-	g.held[r.GetName()] = &held{record: r, until: now.Add(Lease)}
+	g.registrations[r.GetName()] = &registration{record: r, expires: now.Add(Lease)}
 	return true
 }
 
-// takePlace gives an address to whoever started last there. A delayed announcement of the former holder would
-// otherwise bring requests of its service to the present one; without this, that shows as refusals of targets that
-// were asked for another's work.
-func (g *Registrar) takePlace(r *wire.Record) bool {
+// claimAddress assigns an address to the target that started last on it. A target that held the address before is
+// marked as gone. A delayed announcement of the former holder would otherwise direct requests for its service to the
+// present holder, which appears as refusals by targets that receive requests for another service.
+func (g *Registrar) claimAddress(r *wire.Record) bool {
 	if r.GetAddress() == "" {
 		return true
 	}
-	if g.places == nil {
-		g.places = map[string]string{}
+	if g.namesByAddress == nil {
+		g.namesByAddress = map[string]string{}
 	}
-	holder, ok := g.held[g.places[r.GetAddress()]]
+	holder, ok := g.registrations[g.namesByAddress[r.GetAddress()]]
 	if ok && holder.record.GetName() != r.GetName() && holder.record.GetAddress() == r.GetAddress() {
 		if holder.record.GetIncarnation() > r.GetIncarnation() {
 			return false
 		}
-		ended := proto.CloneOf(holder.record)
-		ended.State = wire.TargetState_TARGET_GONE
-		holder.record = ended
+		replaced := proto.CloneOf(holder.record)
+		replaced.State = wire.TargetState_TARGET_GONE
+		holder.record = replaced
 	}
-	g.places[r.GetAddress()] = r.GetName()
+	g.namesByAddress[r.GetAddress()] = r.GetName()
 	return true
 }
 
-func sameRun(a, b *wire.Record) bool { return a.GetIncarnation() == b.GetIncarnation() }
+func sameIncarnation(a, b *wire.Record) bool { return a.GetIncarnation() == b.GetIncarnation() }
 
-// newer orders the announcements of one name: by start, then by state, then by sequence; of equal ones that which says
-// less of being usable holds. State goes before sequence because leaving is final and may be passed on by a controller
-// that missed the target's last heartbeats.
+// newer reports whether announcement r of a target is newer than old. Announcements are ordered by incarnation, then by
+// state, then by sequence. If all are equal, the silent one counts as newer, because it is the less favourable state.
+// State precedes sequence because leaving is final and may be passed on by a controller that missed the target's last
+// heartbeats.
 func newer(old, r *wire.Record) bool {
-	if !sameRun(old, r) {
+	if !sameIncarnation(old, r) {
 		return r.GetIncarnation() > old.GetIncarnation()
 	}
 	if r.GetState() != old.GetState() {
@@ -140,12 +143,12 @@
 	return r.GetSilent() && !old.GetSilent()
 }
 
-// Ready returns the ready records of a service whose lease goes on, by name.
+// Ready returns the records of a service that are ready and whose lease has not expired, sorted by name.
 func (g *Registrar) Ready(now time.Time, service string) []*wire.Record {
 	var out []*wire.Record
-	for _, h := range g.held {
+	for _, h := range g.registrations {
 		ready := h.record.GetState() == wire.TargetState_TARGET_READY
-		if h.record.GetService() == service && ready && now.Before(h.until) {
+		if h.record.GetService() == service && ready && now.Before(h.expires) {
 			out = append(out, h.record)
 		}
 	}
@@ -153,30 +156,30 @@
 	return out
 }
 
-// All returns every record, so that another entry instance can catch up.
+// All returns every record, sorted by name, so that another entry instance can be brought up to date.
 func (g *Registrar) All() []*wire.Record {
-	out := make([]*wire.Record, 0, len(g.held))
-	for _, h := range g.held {
+	out := make([]*wire.Record, 0, len(g.registrations))
+	for _, h := range g.registrations {
 		out = append(out, h.record)
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].GetName() < out[j].GetName() })
 	return out
 }
 
-// Get returns the record of one target.
+// Get returns the record of a target and whether there is one, also after its lease has expired.
 func (g *Registrar) Get(name string) (*wire.Record, bool) {
-	h, ok := g.held[name]
+	h, ok := g.registrations[name]
 	if !ok {
 		return nil, false
 	}
 	return h.record, true
 }
 
-// Expire forgets records that have been silent for long.
+// Expire removes the records whose lease expired more than the retention period ago.
 func (g *Registrar) Expire(now time.Time) {
-	for name, h := range g.held {
-		if now.Sub(h.until) > remember {
-			delete(g.held, name)
+	for name, h := range g.registrations {
+		if now.Sub(h.expires) > retention {
+			delete(g.registrations, name)
 		}
 	}
 }
--- a/core/registrar/registrar_test.go
+++ b/core/registrar/registrar_test.go
@@ -34,61 +34,61 @@
 	leaving = wire.TargetState_TARGET_LEAVING
 )
 
-func assertLive(t *testing.T, g *Registrar, now time.Time, want int) {
+func assertReadyCount(t *testing.T, g *Registrar, now time.Time, want int) {
 	t.Helper()
 	is.New(t).Equal(len(g.Ready(now, "listings")), want)
 }
 
-// A target says that it leaves, and an older announcement arrives after that, or one sent by a part of
-// it that does not know yet. Sent new work, it would cut it off when it exits.
+// A target announces that it is leaving. After that, an older announcement arrives, or one from a part of the target
+// that is not yet aware of it. If requests were sent to the target, they would be interrupted when it exits.
 func TestLeavingIsFinal(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var g Registrar
 	g.Merge(now, record(5, 1, ready))
-	assertLive(t, &g, now, 1)
+	assertReadyCount(t, &g, now, 1)
 	g.Merge(now, record(5, 3, leaving))
-	assertLive(t, &g, now, 0)
+	assertReadyCount(t, &g, now, 0)
 	t.Run("late", func(t *testing.T) {
 		g.Merge(now, record(5, 2, ready))
-		assertLive(t, &g, now, 0)
+		assertReadyCount(t, &g, now, 0)
 	})
-	t.Run("newer of the same run", func(t *testing.T) {
+	t.Run("newer of the same incarnation", func(t *testing.T) {
 		g.Merge(now, record(5, 4, ready))
-		assertLive(t, &g, now, 0)
+		assertReadyCount(t, &g, now, 0)
 	})
-	t.Run("older run", func(t *testing.T) {
+	t.Run("older incarnation", func(t *testing.T) {
 		g.Merge(now, record(4, 9, ready))
-		assertLive(t, &g, now, 0)
+		assertReadyCount(t, &g, now, 0)
 	})
-	t.Run("new run", func(t *testing.T) {
+	t.Run("new incarnation", func(t *testing.T) {
 		g.Merge(now, record(6, 1, ready))
-		assertLive(t, &g, now, 1)
+		assertReadyCount(t, &g, now, 1)
 	})
 }
 
-func TestSilenceEndsTheLease(t *testing.T) {
+func TestLeaseExpiresWithoutAnnouncements(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var g Registrar
 	g.Merge(now, record(5, 1, ready))
-	assertLive(t, &g, now.Add(Lease-1), 1)
-	assertLive(t, &g, now.Add(Lease), 0)
-	g.Merge(now.Add(Lease), record(5, 1, ready)) // a repeat of what is known is no sign of life
-	assertLive(t, &g, now.Add(Lease), 0)
+	assertReadyCount(t, &g, now.Add(Lease-1), 1)
+	assertReadyCount(t, &g, now.Add(Lease), 0)
+	g.Merge(now.Add(Lease), record(5, 1, ready)) // a duplicate does not renew the lease
+	assertReadyCount(t, &g, now.Add(Lease), 0)
 }
 
-// Entry instances hear of announcements in different orders, some doubled. They must still agree on which
-// targets are ready, or one of them goes on sending work to a target that leaves.
-func TestOrderDoesNotMatter(t *testing.T) {
+// Entry instances receive announcements in different orders, and some of them twice. They must still agree on which
+// targets are ready, or one of them continues to send requests to a target that is leaving.
+func TestMergeOrderDoesNotMatter(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	for seed := range uint64(2000) {
 		random := rand.New(rand.NewPCG(seed, 4))
 		var sent []*wire.Record
-		left := false
+		isLeaving := false
 		for sequence := range uint64(6) {
 			state := ready
-			if left || random.IntN(4) == 0 {
-				state, left = leaving, true
+			if isLeaving || random.IntN(4) == 0 {
+				state, isLeaving = leaving, true
 			}
 			sent = append(sent, record(1+uint64(random.IntN(2)), sequence+1, state))
 		}
@@ -99,8 +99,8 @@
 		for _, i := range append(random.Perm(len(sent)), random.Perm(len(sent))...) {
 			second.Merge(now, clone(sent[i]))
 		}
-		is.Equal(len(first.Ready(now, "listings")) > 0 && newestLeft(sent), false)
-		is.Equal(len(second.Ready(now, "listings")) > 0 && newestLeft(sent), false)
+		is.Equal(len(first.Ready(now, "listings")) > 0 && newestIsLeaving(sent), false)
+		is.Equal(len(second.Ready(now, "listings")) > 0 && newestIsLeaving(sent), false)
 	}
 }
 
@@ -108,8 +108,8 @@
 	return record(r.GetIncarnation(), r.GetSequence(), r.GetState())
 }
 
-// newestLeft reports whether the newest run's last word was that it leaves.
-func newestLeft(sent []*wire.Record) bool {
+// newestIsLeaving reports whether the newest of the announcements is that the target is leaving.
+func newestIsLeaving(sent []*wire.Record) bool {
 	newest := sent[0]
 	for _, r := range sent {
 		if newer(newest, r) {
@@ -148,54 +148,54 @@
 	}
 }
 
-func placed(name string, incarnation, sequence uint64, address string, state wire.TargetState) *wire.Record {
+func recordAt(name string, incarnation, sequence uint64, address string, state wire.TargetState) *wire.Record {
 	return &wire.Record{
 		Name: name, Incarnation: incarnation, Sequence: sequence, Address: address, Service: "listings", Slots: 1, State: state,
 	}
 }
 
-// A target crashes, and its address goes to a target of another service. A heartbeat of the dead one was held up on its
-// way and arrives now. Taken, requests of its service would be sent to the new one.
-func TestAddressBelongsToWhoStartedLast(t *testing.T) {
+// A target crashes, and its address is reused by a target of another service. Then a delayed heartbeat of the crashed
+// target arrives. If it were accepted, requests for its service would be sent to the new target.
+func TestAddressBelongsToTheLatestStarted(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	var g Registrar
-	is.True(g.Merge(now, placed("old", 10, 1, "10.0.0.1:80", wire.TargetState_TARGET_READY)))
-	is.True(g.Merge(now, placed("new", 20, 1, "10.0.0.1:80", wire.TargetState_TARGET_READY)))
-	is.True(!g.Merge(now, placed("old", 10, 2, "10.0.0.1:80", wire.TargetState_TARGET_READY)))
+	is.True(g.Merge(now, recordAt("old", 10, 1, "10.0.0.1:80", wire.TargetState_TARGET_READY)))
+	is.True(g.Merge(now, recordAt("new", 20, 1, "10.0.0.1:80", wire.TargetState_TARGET_READY)))
+	is.True(!g.Merge(now, recordAt("old", 10, 2, "10.0.0.1:80", wire.TargetState_TARGET_READY)))
 	old, _ := g.Get("old")
 	is.Equal(old.GetState(), wire.TargetState_TARGET_GONE)
 	is.Equal(len(g.Ready(now, "listings")), 1)
-	is.True(g.Merge(now, placed("old", 30, 1, "10.0.0.2:80", wire.TargetState_TARGET_READY)))
+	is.True(g.Merge(now, recordAt("old", 30, 1, "10.0.0.2:80", wire.TargetState_TARGET_READY)))
 	is.Equal(len(g.Ready(now, "listings")), 2)
 }
 
-// A target leaves without having said so before, and its last heartbeat arrives after that.
+// A target leaves without having announced it, and its last heartbeat arrives after that.
 func TestGoneIsFinalForAnIncarnation(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	var g Registrar
-	is.True(g.Merge(now, placed("u", 10, 4, "10.0.0.1:80", wire.TargetState_TARGET_READY)))
-	is.True(g.Merge(now, placed("u", 10, 4, "10.0.0.1:80", wire.TargetState_TARGET_GONE)))
-	g.Merge(now, placed("u", 10, 5, "10.0.0.1:80", wire.TargetState_TARGET_READY))
+	is.True(g.Merge(now, recordAt("u", 10, 4, "10.0.0.1:80", wire.TargetState_TARGET_READY)))
+	is.True(g.Merge(now, recordAt("u", 10, 4, "10.0.0.1:80", wire.TargetState_TARGET_GONE)))
+	g.Merge(now, recordAt("u", 10, 5, "10.0.0.1:80", wire.TargetState_TARGET_READY))
 	got, _ := g.Get("u")
 	is.Equal(got.GetState(), wire.TargetState_TARGET_GONE)
-	is.True(g.Merge(now, placed("u", 11, 1, "10.0.0.1:80", wire.TargetState_TARGET_READY)))
+	is.True(g.Merge(now, recordAt("u", 11, 1, "10.0.0.1:80", wire.TargetState_TARGET_READY)))
 	is.Equal(len(g.Ready(now, "listings")), 1)
 }
 
-// A target's last heartbeat reached only controllers that are cut off, and some instances learnt it from them. It
-// leaves by a controller that knows an earlier one. Ordered by sequence alone, those instances would take the leaving
-// for older than what they know, and go on sending requests.
-func TestLeavingOutranksLaterHeartbeats(t *testing.T) {
+// A target's last heartbeats reach only disconnected controllers and, through them, some instances. The target then
+// leaves through a controller that has an earlier heartbeat. If announcements were ordered by sequence alone, those
+// instances would take the leaving for older than the heartbeat and continue to send requests.
+func TestLeavingPrecedesLaterHeartbeats(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	for _, state := range []wire.TargetState{wire.TargetState_TARGET_LEAVING, wire.TargetState_TARGET_GONE} {
 		var g Registrar
-		is.True(g.Merge(now, placed("u", 10, 9, "10.0.0.1:80", wire.TargetState_TARGET_READY)))
-		is.True(g.Merge(now, placed("u", 10, 8, "10.0.0.1:80", state)))
+		is.True(g.Merge(now, recordAt("u", 10, 9, "10.0.0.1:80", wire.TargetState_TARGET_READY)))
+		is.True(g.Merge(now, recordAt("u", 10, 8, "10.0.0.1:80", state)))
 		is.Equal(len(g.Ready(now, "listings")), 0)
-		g.Merge(now, placed("u", 10, 12, "10.0.0.1:80", wire.TargetState_TARGET_READY))
+		g.Merge(now, recordAt("u", 10, 12, "10.0.0.1:80", wire.TargetState_TARGET_READY))
 		is.Equal(len(g.Ready(now, "listings")), 0)
 	}
 }
