--- a/core/planner/errors.go
+++ b/core/planner/errors.go
@@ -2,13 +2,14 @@
 
 import "fmt"
 
-// PlanError says which item of a routing plan is wrong, and why.
+// PlanError reports an invalid item of a routing plan.
 type PlanError struct {
-	// Item is the name of the route, service or organisation, empty for the plan itself.
+	// Item is the name of the route, service or organisation. It is empty for the plan itself and for items without a
+	// name.
 	Item string
-	// Field is the field at fault.
+	// Field is the invalid field.
 	Field string
-	// Expected says what would have been accepted.
+	// Expected describes what would have been accepted.
 	Expected string
 }
 
--- a/core/planner/organisations.go
+++ b/core/planner/organisations.go
@@ -9,33 +9,34 @@
 	"chervilrail.example/core/wire"
 )
 
-// digest is what stands for a key. Callers choose what they send as a key, so it has to resist those who look for two texts
-// with one digest; and the time of a search by digest tells nothing of the keys.
-type digest [sha256.Size]byte
+// keyDigest is the digest of an organisation's key. Callers choose what they send as a key, so the hash has to be
+// collision resistant. The duration of a look-up by digest reveals nothing about the keys.
+type keyDigest [sha256.Size]byte
 
 func checkOrganisations(list []*wire.Organisation) error {
 	names := map[string]bool{}
-	holders := map[string]string{}
+	owners := map[string]string{}
 	for _, o := range list {
 		if o.GetName() == "" || names[o.GetName()] {
 			return &PlanError{o.GetName(), "name", "a name of its own"}
 		}
 		names[o.GetName()] = true
-		if !sane(o.GetRate()) || !sane(o.GetBurst()) {
+		if !isValidAmount(o.GetRate()) || !isValidAmount(o.GetBurst()) {
 			return &PlanError{o.GetName(), "quota", "numbers of 0 or more"}
 		}
 		for _, key := range o.GetKeys() {
-			// The error tells no key: it goes to logs.
-			if other, ok := holders[key]; ok && other != o.GetName() {
-				return &PlanError{o.GetName(), "keys", "keys that " + other + " does not have"}
+			// The error does not contain the key, because errors are logged.
+			if owner, ok := owners[key]; ok && owner != o.GetName() {
+				return &PlanError{o.GetName(), "keys", "keys that " + owner + " does not have"}
 			}
-			holders[key] = o.GetName()
+			owners[key] = o.GetName()
 		}
 	}
 	return nil
 }
 
-// HashKeys returns the plan without any key: with digests in their place, for processes that need only recognise keys.
+// HashKeys returns the plan with the digests of all keys instead of the keys, for processes that only have to recognise
+// keys. The given plan is not modified; it is returned itself if it contains no keys.
 func HashKeys(p *wire.Plan) *wire.Plan {
 	if !slices.ContainsFunc(p.GetOrganisations(), func(o *wire.Organisation) bool { return len(o.GetKeys()) > 0 }) {
 		return p
@@ -44,25 +45,25 @@
 		Version: p.GetVersion(), Routes: p.GetRoutes(), Services: p.GetServices(), Limits: p.GetLimits(), Keyed: p.GetKeyed(),
 	}
 	for _, o := range p.GetOrganisations() {
-		sealed := proto.CloneOf(o)
-		sealed.Keys = nil
+		hashed := proto.CloneOf(o)
+		hashed.Keys = nil
 		for _, key := range o.GetKeys() {
 			sum := sha256.Sum256([]byte(key))
-			sealed.Digests = append(sealed.Digests, sum[:])
+			hashed.Digests = append(hashed.Digests, sum[:])
 		}
-		out.Organisations = append(out.Organisations, sealed)
+		out.Organisations = append(out.Organisations, hashed)
 	}
 	return out
 }
 
-// organisations finds organisations by their keys.
-type organisations map[digest]*wire.Organisation
+// keyIndex holds organisations by the digests of their keys.
+type keyIndex map[keyDigest]*wire.Organisation
 
-func index(p *wire.Plan) organisations {
-	out := organisations{}
+func newKeyIndex(p *wire.Plan) keyIndex {
+	out := keyIndex{}
 	for _, o := range HashKeys(p).GetOrganisations() {
 		for _, sum := range o.GetDigests() {
-			var d digest
+			var d keyDigest
 			if copy(d[:], sum) == len(d) {
 				out[d] = o
 			}
@@ -71,7 +72,7 @@
 	return out
 }
 
-// Organisation returns whose key it is.
+// Organisation returns the organisation that a key belongs to, and whether there is one.
 func (t *Table) Organisation(key string) (*wire.Organisation, bool) {
 	if key == "" {
 		return nil, false
@@ -80,7 +81,8 @@
 	return o, ok
 }
 
-// CommonRegions returns the regions that both lists allow, where an empty list allows all; false if there is none.
+// CommonRegions returns the regions that both lists allow, and whether there are any. An empty list, also as a result
+// with true, allows all regions.
 func CommonRegions(a, b []string) ([]string, bool) {
 	if len(a) == 0 {
 		return b, true
--- a/core/planner/organisations_test.go
+++ b/core/planner/organisations_test.go
@@ -21,8 +21,8 @@
 	return p
 }
 
-// Guards against a plan in which it can't be told whose a request is, or how much it may ask for.
-func TestMistakesInOrganisationsAreNamed(t *testing.T) {
+// Guards against plans that don't determine which organisation a request belongs to, or the organisation's quota.
+func TestCheckReportsTheInvalidFieldOfOrganisations(t *testing.T) {
 	negative := -1.0
 	cases := map[string]struct {
 		plan  *wire.Plan
@@ -41,24 +41,24 @@
 			err := Check(c.plan)
 			is.True(errors.As(err, &fault))
 			is.Equal(fault.Field, c.field)
-			is.True(!strings.Contains(err.Error(), "s3cret")) // errors go to logs
+			is.True(!strings.Contains(err.Error(), "s3cret")) // errors are logged
 		})
 	}
 	is.New(t).NoErr(Check(keyed(organisation("a", "k", "k"), organisation("b"))))
 }
 
-// Guards against keys that reach processes which only have to recognise them.
-func TestASealedPlanHoldsNoKey(t *testing.T) {
+// Guards against keys being sent to processes that only have to recognise them.
+func TestHashKeysRemovesAllKeys(t *testing.T) {
 	is := is.New(t)
-	whole := keyed(organisation("a", "s3cret", "second"), organisation("b", "third"))
-	sealed := HashKeys(whole)
-	data, err := proto.Marshal(sealed)
+	original := keyed(organisation("a", "s3cret", "second"), organisation("b", "third"))
+	hashed := HashKeys(original)
+	data, err := proto.Marshal(hashed)
 	is.NoErr(err)
 	for _, key := range []string{"s3cret", "second", "third"} {
 		is.True(!strings.Contains(string(data), key))
 	}
-	is.Equal(whole.GetOrganisations()[0].GetKeys()[0], "s3cret") // the plan that is read back keeps them
-	table := NewTable(sealed)
+	is.Equal(original.GetOrganisations()[0].GetKeys()[0], "s3cret") // the original plan keeps its keys
+	table := NewTable(hashed)
 	for key, want := range map[string]string{"s3cret": "a", "second": "a", "third": "b", "": "", "s3cre": "", "s3crets": ""} {
 		found, ok := table.Organisation(key)
 		is.Equal(found.GetName(), want)
@@ -76,15 +76,15 @@
 	is.Equal(got.GetOrganisations()[0].GetKeys(), []string{"4"})
 	is.Equal(got.GetOrganisations()[1].GetName(), "c")
 	is.True(got.GetKeyed())
-	is.Equal(len(old.GetOrganisations()), 2) // the former plan is still in use elsewhere
+	is.Equal(len(old.GetOrganisations()), 2) // the former plan may still be in use
 	none := Apply(old, &wire.PlanChange{Version: 2, Patch: &wire.Patch{Noorganisations: []string{"a", "b"}}})
-	is.True(none.GetKeyed()) // without any organisation no key is known, and none is needed nowhere
+	is.True(none.GetKeyed()) // without organisations every key is unknown, and requests still need one
 }
 
 func TestCommonRegions(t *testing.T) {
 	cases := map[string]struct {
 		a, b, want []string
-		some       bool
+		ok         bool
 	}{
 		"all":   {nil, nil, nil, true},
 		"left":  {[]string{"x"}, nil, []string{"x"}, true},
@@ -95,14 +95,14 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			got, some := CommonRegions(c.a, c.b)
+			got, ok := CommonRegions(c.a, c.b)
 			is.Equal(got, c.want)
-			is.Equal(some, c.some)
+			is.Equal(ok, c.ok)
 		})
 	}
 }
 
-// BenchmarkOrganisation finds one of many organisations by its key.
+// BenchmarkOrganisation measures finding one of 100,000 organisations by its key.
 func BenchmarkOrganisation(b *testing.B) {
 	p := keyed()
 	for i := range 100000 {
--- a/core/planner/patch.go
+++ b/core/planner/patch.go
@@ -8,7 +8,8 @@
 	"chervilrail.example/core/wire"
 )
 
-// Apply returns the plan that a change makes of the current one, without checking it.
+// Apply returns the plan that results from applying a change to the current one, without validating it. Neither is
+// modified. The current plan may be nil.
 func Apply(current *wire.Plan, c *wire.PlanChange) *wire.Plan {
 	if c.GetPatch() == nil {
 		out := proto.CloneOf(c.GetPlan())
@@ -33,57 +34,58 @@
 	return out
 }
 
-func mergeRoutes(old, fresh []*wire.Route, dropped []string) []*wire.Route {
-	all := slices.Concat(old, fresh)
+func mergeRoutes(old, patched []*wire.Route, removed []string) []*wire.Route {
+	all := slices.Concat(old, patched)
 	var out []*wire.Route
-	for _, i := range merge(len(old), len(all), func(i int) string { return all[i].GetName() }, dropped) {
+	for _, i := range mergeIndexes(len(old), len(all), func(i int) string { return all[i].GetName() }, removed) {
 		out = append(out, all[i])
 	}
 	return out
 }
 
-func mergeServices(old, fresh []*wire.Service, dropped []string) []*wire.Service {
-	all := slices.Concat(old, fresh)
+func mergeServices(old, patched []*wire.Service, removed []string) []*wire.Service {
+	all := slices.Concat(old, patched)
 	var out []*wire.Service
-	for _, i := range merge(len(old), len(all), func(i int) string { return all[i].GetName() }, dropped) {
+	for _, i := range mergeIndexes(len(old), len(all), func(i int) string { return all[i].GetName() }, removed) {
 		out = append(out, all[i])
 	}
 	return out
 }
 
-func mergeOrganisations(old, fresh []*wire.Organisation, dropped []string) []*wire.Organisation {
-	all := slices.Concat(old, fresh)
+func mergeOrganisations(old, patched []*wire.Organisation, removed []string) []*wire.Organisation {
+	all := slices.Concat(old, patched)
 	var out []*wire.Organisation
-	for _, i := range merge(len(old), len(all), func(i int) string { return all[i].GetName() }, dropped) {
+	for _, i := range mergeIndexes(len(old), len(all), func(i int) string { return all[i].GetName() }, removed) {
 		out = append(out, all[i])
 	}
 	return out
 }
 
-// merge puts named items together, the old ones first of all: a fresh item takes the place of the old one of its name, further
-// ones come last, and those that are dropped are left out. Of fresh items with one name the last one holds.
-func merge(old, all int, name func(int) string, dropped []string) []int {
-	gone := map[string]bool{}
-	for _, n := range dropped {
-		gone[n] = true
+// mergeIndexes merges named items, of which the first are the old ones and the others come from a patch, and returns
+// the indexes of the result. A patched item replaces the old one of the same name, others are appended, and old items
+// that are removed and not patched are omitted. Of patched items with the same name, the last one is used.
+func mergeIndexes(old, all int, name func(int) string, removed []string) []int {
+	isRemoved := map[string]bool{}
+	for _, n := range removed {
+		isRemoved[n] = true
 	}
-	newest := map[string]int{}
+	patches := map[string]int{}
 	for i := old; i < all; i++ {
-		newest[name(i)] = i
+		patches[name(i)] = i
 	}
 	var out []int
 	for i := range old {
-		at, replaced := newest[name(i)]
+		patch, replaced := patches[name(i)]
 		switch {
 		case replaced:
-			out = append(out, at)
-			delete(newest, name(i))
-		case !gone[name(i)]:
+			out = append(out, patch)
+			delete(patches, name(i))
+		case !isRemoved[name(i)]:
 			out = append(out, i)
 		}
 	}
 	for i := old; i < all; i++ {
-		if at, ok := newest[name(i)]; ok && at == i {
+		if patch, ok := patches[name(i)]; ok && patch == i {
 			out = append(out, i)
 		}
 	}
--- a/core/planner/planner.go
+++ b/core/planner/planner.go
@@ -1,4 +1,5 @@
-// Package planner checks, patches and searches routing plans: which requests belong to which route.
+// Package planner validates and patches routing plans, and finds the route, service and organisation of a request in
+// them.
 package planner
 
 import (
@@ -10,28 +11,29 @@
 	"chervilrail.example/core/wire"
 )
 
-// aimSlack is how far a route's aim may lie above its timeout. Operators lower time-outs for a while and leave
-// the aims alone, so a small excess is accepted; a minute or more can only be a mistake of units.
-const aimSlack = time.Minute
+// maxAimExcess is the excess of a route's aim, its target latency, over its timeout from which a plan is refused.
+// Operators lower time-outs for a while without changing the aims, so a small excess is accepted. A minute or more can
+// only result from a wrong unit.
+const maxAimExcess = time.Minute
 
-// Check refuses a plan that can't be put in force.
+// Check returns a PlanError if a plan can't be put in force.
 func Check(p *wire.Plan) error {
 	services, err := checkServices(p.GetServices())
 	if err != nil {
 		return err
 	}
 	names := map[string]bool{}
-	places := map[string]bool{}
+	patterns := map[string]bool{}
 	for _, r := range p.GetRoutes() {
 		if r.GetName() == "" || names[r.GetName()] {
 			return &PlanError{r.GetName(), "name", "a name of its own"}
 		}
 		names[r.GetName()] = true
-		place := r.GetHost() + " " + r.GetPrefix()
-		if places[place] {
+		pattern := r.GetHost() + " " + r.GetPrefix()
+		if patterns[pattern] {
 			return &PlanError{r.GetName(), "prefix", "a host and prefix that no other route has"}
 		}
-		places[place] = true
+		patterns[pattern] = true
 		if err := checkRoute(r, services); err != nil {
 			return err
 		}
@@ -49,14 +51,14 @@
 			return nil, &PlanError{s.GetName(), "name", "a name of its own"}
 		}
 		names[s.GetName()] = true
-		if s.GetConnections() < 0 || s.GetCold() < 0 || !sane(s.GetRate()) {
+		if s.GetConnections() < 0 || s.GetCold() < 0 || !isValidAmount(s.GetRate()) {
 			return nil, &PlanError{s.GetName(), "limits", "numbers of 0 or more"}
 		}
 	}
 	return names, nil
 }
 
-func sane(f float64) bool { return f >= 0 && !math.IsInf(f, 0) && !math.IsNaN(f) }
+func isValidAmount(f float64) bool { return f >= 0 && !math.IsInf(f, 0) && !math.IsNaN(f) }
 
 func checkRoute(r *wire.Route, services map[string]bool) error {
 	if !strings.HasPrefix(r.GetPrefix(), "/") {
@@ -65,7 +67,7 @@
 	if r.GetTimeout() < 0 || r.GetAim() < 0 || r.GetAttempts() < 0 {
 		return &PlanError{r.GetName(), "times", "numbers of 0 or more"}
 	}
-	if time.Duration(r.GetAim())-time.Duration(r.GetTimeout()) >= aimSlack {
+	if time.Duration(r.GetAim())-time.Duration(r.GetTimeout()) >= maxAimExcess {
 		return &PlanError{r.GetName(), "aim", "less than a minute above the timeout"}
 	}
 	total := 0.0
@@ -73,7 +75,7 @@
 		if !services[s.GetService()] {
 			return &PlanError{r.GetName(), "service", "a service of the plan, not " + strconv.Quote(s.GetService())}
 		}
-		if !sane(s.GetWeight()) {
+		if !isValidAmount(s.GetWeight()) {
 			return &PlanError{r.GetName(), "weight", "a number of 0 or more"}
 		}
 		total += s.GetWeight()
--- a/core/planner/planner_test.go
+++ b/core/planner/planner_test.go
@@ -36,17 +36,17 @@
 		"a.example /x/1": "short", "a.example /x/y/1": "long", "b.example /x/y/1": "other",
 		"a.example:8080 /x/y/": "long", "a.example /y/": "", "c.example /x/": "", "a.example /x": "",
 	}
-	for place, want := range cases {
-		t.Run(place, func(t *testing.T) {
-			host, path, _ := strings.Cut(place, " ")
+	for pattern, want := range cases {
+		t.Run(pattern, func(t *testing.T) {
+			host, path, _ := strings.Cut(pattern, " ")
 			got, _ := table.Match(host, path)
 			is.New(t).Equal(got.GetName(), want)
 		})
 	}
 }
 
-// An operator sends a plan with a mistake in it. Put in force it would send requests nowhere, or to the wrong place.
-func TestMistakesAreNamed(t *testing.T) {
+// Guards against an invalid plan that is put in force and sends requests to the wrong services or to none.
+func TestCheckReportsTheInvalidField(t *testing.T) {
 	is := is.New(t)
 	is.NoErr(Check(plan(route("a", "h", "/a/"))))
 	late := route("a", "h", "/a/")
@@ -55,15 +55,15 @@
 		plan  *wire.Plan
 		field string
 	}{
-		"unknown service": {plan(route("a", "h", "/a/", &wire.Split{Service: "nope", Weight: 1})), "service"},
-		"same place":      {plan(route("a", "h", "/a/"), route("b", "h", "/a/")), "prefix"},
-		"same name":       {plan(route("a", "h", "/a/"), route("a", "h", "/b/")), "name"},
-		"bare prefix":     {plan(route("a", "h", "a/")), "prefix"},
+		"unknown service":      {plan(route("a", "h", "/a/", &wire.Split{Service: "nope", Weight: 1})), "service"},
+		"same host and prefix": {plan(route("a", "h", "/a/"), route("b", "h", "/a/")), "prefix"},
+		"same name":            {plan(route("a", "h", "/a/"), route("a", "h", "/b/")), "name"},
+		"prefix without slash": {plan(route("a", "h", "a/")), "prefix"},
 		"no weight": {plan(route("a", "h", "/a/", &wire.Split{Service: "listings"},
 			&wire.Split{Service: "bookings"})), "weights"},
 		"negative weight": {plan(route("a", "h", "/a/", &wire.Split{Service: "listings", Weight: -1},
 			&wire.Split{Service: "bookings", Weight: 2})), "weight"},
-		"aim a minute over": {plan(late), "aim"},
+		"aim a minute above timeout": {plan(late), "aim"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -88,11 +88,11 @@
 	is.Equal(got.GetRoutes()[0].GetPrefix(), "/changed/")
 	is.Equal(got.GetRoutes()[1].GetName(), "c")
 	is.Equal(got.GetServices()[1].GetConnections(), int32(7))
-	is.Equal(old.GetRoutes()[0].GetPrefix(), "/a/") // the former plan is still in use elsewhere
+	is.Equal(old.GetRoutes()[0].GetPrefix(), "/a/") // the former plan may still be in use
 }
 
-// Weighted routes are filled by chance in the naive version, and a share then lies some per cent off its weight in
-// each window that an operator looks at.
+// Guards against services chosen at random: their shares would deviate from the weights by some per cent in each window
+// that an operator looks at.
 func TestSharesStayWithinOneRequestOfTheirWeights(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		weights := rapid.SliceOfN(rapid.IntRange(0, 100), 2, 4).Draw(t, "weights")
@@ -110,9 +110,9 @@
 		for n := 1; n <= 200; n++ {
 			got[s.Next(r)]++
 			for _, p := range r.GetSplits() {
-				due := float64(n) * p.GetWeight() / float64(total)
-				if diff := float64(got[p.GetService()]) - due; diff > 2 || diff < -2 {
-					t.Fatalf("after %d requests %s got %d, due %.1f", n, p.GetService(), got[p.GetService()], due)
+				expected := float64(n) * p.GetWeight() / float64(total)
+				if diff := float64(got[p.GetService()]) - expected; diff > 2 || diff < -2 {
+					t.Fatalf("after %d requests %s got %d, due %.1f", n, p.GetService(), got[p.GetService()], expected)
 				}
 			}
 		}
