--- a/core/planner/organisations_test.go
+++ b/core/planner/organisations_test.go
@@ -57,7 +57,7 @@
 	for _, key := range []string{"s3cret", "second", "third"} {
 		is.True(!strings.Contains(string(data), key))
 	}
-	is.Equal(original.GetOrganisations()[0].GetKeys()[0], "s3cret") // the original plan keeps its keys
+	is.Equal(original.GetOrganisations()[0].GetKeys()[0], "s3cret") // the plan that operators read back keeps its keys
 	table := NewTable(hashed)
 	for key, want := range map[string]string{"s3cret": "a", "second": "a", "third": "b", "": "", "s3cre": "", "s3crets": ""} {
 		found, ok := table.Organisation(key)
--- a/core/planner/table.go
+++ b/core/planner/table.go
@@ -21,7 +21,9 @@
 
 // NewTable returns a table of a plan that Check has accepted.
 func NewTable(p *wire.Plan) *Table {
-	t := &Table{Plan: p, routesByHost: map[string][]*wire.Route{}, services: map[string]*wire.Service{}, keys: newKeyIndex(p)}
+	t := &Table{
+		Plan: p, routesByHost: map[string][]*wire.Route{}, services: map[string]*wire.Service{}, keys: newKeyIndex(p),
+	}
 	for _, r := range p.GetRoutes() {
 		t.routesByHost[r.GetHost()] = append(t.routesByHost[r.GetHost()], r)
 	}
