--- a/core/balancer/balancer.go
+++ b/core/balancer/balancer.go
@@ -1,5 +1,5 @@
-// Package balancer chooses the target of a request: near ones first, by two random candidates compared
-// on the work that this instance has outstanding there. It is safe for concurrent use.
+// Package balancer chooses the target of a request. It prefers near targets, and among those of a tier compares two
+// random candidates by the requests that this instance has outstanding there. It is safe for concurrent use.
 package balancer
 
 import (
@@ -9,23 +9,25 @@
 )
 
 const (
-	// ReportAge is how old a reported load may be and still count.
-	ReportAge = 3 * time.Second
-	// WarmUp is over how long a new target is brought to its full part.
-	WarmUp = 10 * time.Second
+	// MaxReportAge is the age from which a reported load is ignored.
+	MaxReportAge = 3 * time.Second
+	// WarmUpTime is how long the limit of a new target grows until all its slots are used.
+	WarmUpTime = 10 * time.Second
 
-	ejectAfter = 3
-	ejectBase  = time.Second
-	ejectMax   = 30 * time.Second
-	// maxEjected is the largest part of a pool, in percent, that failures may take out. Past it the fault
-	// is more likely with this instance or its network than with the targets.
-	maxEjected = 50
-	percent    = 100
-	// scale keeps fractions of a slot in integers.
+	// ejectionThreshold is the number of consecutive failures from which a target is ejected: for minEjection at first,
+	// and for twice as long with each further failure, up to maxEjection.
+	ejectionThreshold = 3
+	minEjection       = time.Second
+	maxEjection       = 30 * time.Second
+	// maxEjectedPercent is the highest percentage of a tier that may be ejected. Beyond it, the fault is more likely
+	// with this instance or its network than with the targets.
+	maxEjectedPercent = 50
+	percent           = 100
+	// scale is the fixed-point factor for fractions of a slot.
 	scale = 1024
 )
 
-// Report is a target's own word on its load.
+// Report is the load, in requests, that a target reported about itself, and when.
 type Report struct {
 	Load int32
 	At   time.Time
@@ -39,31 +41,32 @@
 	Region      string
 	Zone        string
 	Slots       int32
-	// FirstSeen is when this run of the target was first seen; its cache is cold then.
+	// FirstSeen is when this incarnation of the target was first seen. Its cache is cold at that time.
 	FirstSeen time.Time
 
-	// own is how many of the slots belong to this instance.
-	own         atomic.Int32
+	// ownSlots is how many of the slots are assigned to this instance.
+	ownSlots    atomic.Int32
 	outstanding atomic.Int32
-	failures    atomic.Int32
-	// ejectedUntil is in nanoseconds since the epoch; 0 means in use.
+	// failures is the number of consecutive failures.
+	failures atomic.Int32
+	// ejectedUntil is in nanoseconds since the epoch; 0 means not ejected.
 	ejectedUntil atomic.Int64
 	report       atomic.Pointer[Report]
 }
 
-// SetOwnSlots says how many of the slots belong to this instance.
-func (u *Target) SetOwnSlots(n int32) { u.own.Store(n) }
+// SetOwnSlots sets how many of the slots are assigned to this instance.
+func (u *Target) SetOwnSlots(n int32) { u.ownSlots.Store(n) }
 
-// OwnSlots returns how many of the slots belong to this instance.
-func (u *Target) OwnSlots() int32 { return u.own.Load() }
+// OwnSlots returns how many of the slots are assigned to this instance.
+func (u *Target) OwnSlots() int32 { return u.ownSlots.Load() }
 
-// Outstanding returns how many requests of this instance the target works on.
+// Outstanding returns how many requests of this instance are in progress at the target.
 func (u *Target) Outstanding() int32 { return u.outstanding.Load() }
 
 // SetReport stores a reported load.
 func (u *Target) SetReport(r Report) { u.report.Store(&r) }
 
-// Reserve takes a slot if this instance has fewer than limit requests outstanding there.
+// Reserve takes a slot and returns true if this instance has fewer than limit requests outstanding at the target.
 func (u *Target) Reserve(limit int32) bool {
 	for {
 		n := u.outstanding.Load()
@@ -76,58 +79,60 @@
 	}
 }
 
-// Release gives a slot back.
+// Release returns a reserved slot.
 func (u *Target) Release() { u.outstanding.Add(-1) }
 
-// Succeed clears the record of failures.
+// Succeed records a success: it resets the number of failures and ends an ejection.
 func (u *Target) Succeed() {
 	u.failures.Store(0)
 	u.ejectedUntil.Store(0)
 }
 
-// Fail counts a failure; several in a row take the target out for a while, longer each time.
+// Fail records a failure. From the third consecutive one on, each ejects the target for a longer time.
 func (u *Target) Fail(now time.Time) {
 	n := u.failures.Add(1)
-	if n < ejectAfter {
+	if n < ejectionThreshold {
 		return
 	}
-	rest := ejectBase << min(n-ejectAfter, 5)
-	u.ejectedUntil.Store(now.Add(min(rest, ejectMax)).UnixNano())
+	duration := minEjection << min(n-ejectionThreshold, 5)
+	u.ejectedUntil.Store(now.Add(min(duration, maxEjection)).UnixNano())
 }
 
-// Ejected reports whether failures keep the target out at the moment.
+// Ejected reports whether the target is currently ejected because of failures.
 func (u *Target) Ejected(now time.Time) bool {
 	until := u.ejectedUntil.Load()
 	return until != 0 && now.UnixNano() < until
 }
 
-// room is how many requests this instance may have outstanding there now: a cold target starts with
-// a part of its slots, so that a wave of misses does not bury it.
-func (u *Target) room(now time.Time) int32 {
+// ownLimit returns how many requests this instance may have outstanding at the target on its own slots. A new target
+// starts with a fraction of its slots, so that cache misses do not overload it.
+func (u *Target) ownLimit(now time.Time) int32 {
 	age := now.Sub(u.FirstSeen)
 	own := u.OwnSlots()
-	if age >= WarmUp || own == 0 {
+	if age >= WarmUpTime || own == 0 {
 		return own
 	}
-	return max(1, int32(int64(own)*int64(age)/int64(WarmUp)))
+	return max(1, int32(int64(own)*int64(age)/int64(WarmUpTime)))
 }
 
-// borrowed is how many slots of other instances may be used now. A fresh report must show the target
-// half idle: its owners find their slots taken otherwise, and what they send is shed.
-func (u *Target) borrowed(now time.Time) int32 {
+// borrowLimit returns how many requests this instance may have outstanding at the target when it uses a slot assigned
+// to another instance, at most one more than its own slots. It returns 0 unless a fresh report shows a load below half
+// of the slots. Otherwise the instances that the slots are assigned to would find them occupied, and their requests
+// would be shed.
+func (u *Target) borrowLimit(now time.Time) int32 {
 	r := u.report.Load()
-	if r == nil || now.Sub(r.At) >= ReportAge || now.Sub(u.FirstSeen) < WarmUp || 2*r.Load >= u.Slots {
+	if r == nil || now.Sub(r.At) >= MaxReportAge || now.Sub(u.FirstSeen) < WarmUpTime || 2*r.Load >= u.Slots {
 		return 0
 	}
 	return min(u.OwnSlots()+1, u.Slots)
 }
 
-// cost compares targets: outstanding work by slot. A fresh report only breaks ties, because every
-// instance sees the same one and would otherwise follow it at once to the same target.
+// cost returns the outstanding requests per slot, by which targets are compared. A fresh report only breaks ties: all
+// instances receive the same report, and would otherwise choose the same target at the same time.
 func (u *Target) cost(now time.Time) int64 {
 	slots := int64(max(1, u.OwnSlots()))
 	cost := int64(u.outstanding.Load()) * scale * scale / slots
-	if r := u.report.Load(); r != nil && now.Sub(r.At) < ReportAge {
+	if r := u.report.Load(); r != nil && now.Sub(r.At) < MaxReportAge {
 		cost += min(int64(r.Load)*scale/slots, scale*scale/slots-1)
 	}
 	return cost
@@ -135,19 +140,19 @@
 
 // Pool is an immutable set of targets of one service, grouped by distance from this instance.
 type Pool struct {
-	// Tiers lists the targets of the own availability zone, the rest of the own region, and then of
-	// each other region by distance.
+	// Tiers lists the targets of this instance's availability zone, those of the rest of its region, and then those of
+	// each other region, nearest first.
 	Tiers []Tier
 }
 
-// Tier is a group of targets at equal distance.
+// Tier is a group of targets at the same distance.
 type Tier struct {
 	Region  string
 	Targets []*Target
 }
 
-// OwnSlots returns how many slots of the pool belong to this instance, at targets that are not ejected. Were
-// those counted, requests would be let in for slots that can't be used, and wait there without an order.
+// OwnSlots returns how many slots of the pool are assigned to this instance, at targets that are not ejected. If slots
+// of ejected targets were counted, requests would be admitted that can't be sent, and wait for a slot in no order.
 func (p *Pool) OwnSlots(now time.Time) int {
 	sum := 0
 	for _, t := range p.Tiers {
@@ -160,18 +165,18 @@
 	return sum
 }
 
-// BorrowableSlots returns how many slots of other instances could be used now, by the fresh reports.
+// BorrowableSlots returns how many slots assigned to other instances this one may use now, according to fresh reports.
 func (p *Pool) BorrowableSlots(now time.Time) int {
 	sum := 0
 	for _, t := range p.Tiers {
 		for _, u := range t.Targets {
-			sum += int(max(0, u.borrowed(now)-u.OwnSlots()))
+			sum += int(max(0, u.borrowLimit(now)-u.OwnSlots()))
 		}
 	}
 	return sum
 }
 
-// Regions returns the regions of a pool, nearest first.
+// Regions returns the regions in which the pool has targets, nearest first.
 func (p *Pool) Regions() []string {
 	var out []string
 	for _, t := range p.Tiers {
@@ -185,21 +190,23 @@
 	return out
 }
 
-// Balancer chooses. Set Random to a source of uniform 64-bit numbers before use.
+// Balancer chooses targets. Set Random to a source of uniformly distributed 64-bit numbers before use. It has to be
+// safe for concurrent use if the Balancer is used concurrently.
 type Balancer struct {
 	Random func() uint64
 }
 
-// Choose reserves a slot at a target of the region and returns it, or nil when none has room: a slot of
-// this instance's own if one is free, else one of another instance at a target that reports itself half
-// idle. The caller must call Release on what it gets. Excluded targets were tried for this request before.
+// Choose reserves a slot at a target of the region and returns the target, or nil if no slot is available. It uses a
+// slot assigned to this instance if one is free, otherwise one assigned to another instance, at a target that reports a
+// load below half of its slots. The caller must call Release on the returned target. Excluded targets are not chosen,
+// because they were tried before for this request.
 func (b *Balancer) Choose(now time.Time, p *Pool, region string, excluded []*Target) *Target {
-	for _, room := range []roomFunc{(*Target).room, (*Target).borrowed} {
+	for _, limit := range []limitFunc{(*Target).ownLimit, (*Target).borrowLimit} {
 		for _, t := range p.Tiers {
 			if t.Region != region {
 				continue
 			}
-			if u := b.fromTier(now, t.Targets, excluded, room); u != nil {
+			if u := b.chooseFromTier(now, t.Targets, excluded, limit); u != nil {
 				return u
 			}
 		}
@@ -207,58 +214,58 @@
 	return nil
 }
 
-// roomFunc tells how many requests a target may have from this instance.
-type roomFunc func(u *Target, now time.Time) int32
+// limitFunc returns how many requests this instance may have outstanding at a target.
+type limitFunc func(u *Target, now time.Time) int32
 
-func (b *Balancer) fromTier(now time.Time, targets, excluded []*Target, room roomFunc) *Target {
+func (b *Balancer) chooseFromTier(now time.Time, targets, excluded []*Target, limit limitFunc) *Target {
 	n := uint64(len(targets))
 	if n == 0 {
 		return nil
 	}
-	respect := b.respectEjection(now, targets)
+	skipEjected := b.shouldSkipEjected(now, targets)
 	first := targets[b.Random()%n]
 	second := targets[b.Random()%n]
 	if second.cost(now) < first.cost(now) {
 		first, second = second, first
 	}
 	for _, u := range [2]*Target{first, second} {
-		if usable(now, u, excluded, respect) && u.Reserve(room(u, now)) {
+		if isEligible(now, u, excluded, skipEjected) && u.Reserve(limit(u, now)) {
 			return u
 		}
 	}
-	return b.scan(now, targets, excluded, respect, room)
+	return b.scan(now, targets, excluded, skipEjected, limit)
 }
 
-// scan looks at all targets, from a random place on, when neither candidate has room.
-func (b *Balancer) scan(now time.Time, targets, excluded []*Target, respect bool, room roomFunc) *Target {
+// scan tries all targets, beginning with a random one. It is used when neither candidate can take the request.
+func (b *Balancer) scan(now time.Time, targets, excluded []*Target, skipEjected bool, limit limitFunc) *Target {
 	n := len(targets)
 	start := int(b.Random() % uint64(n))
 	for i := range n {
 		u := targets[(start+i)%n]
-		if usable(now, u, excluded, respect) && u.Reserve(room(u, now)) {
+		if isEligible(now, u, excluded, skipEjected) && u.Reserve(limit(u, now)) {
 			return u
 		}
 	}
 	return nil
 }
 
-func usable(now time.Time, u *Target, excluded []*Target, respect bool) bool {
+func isEligible(now time.Time, u *Target, excluded []*Target, skipEjected bool) bool {
 	for _, e := range excluded {
 		if e == u {
 			return false
 		}
 	}
-	return !respect || !u.Ejected(now)
+	return !skipEjected || !u.Ejected(now)
 }
 
-// respectEjection ignores ejections once they take out too much: an instance whose own network fails
-// would otherwise eject everything and answer nothing.
-func (b *Balancer) respectEjection(now time.Time, targets []*Target) bool {
-	out := 0
+// shouldSkipEjected reports whether ejections are respected. They are ignored once too many targets are ejected,
+// because an instance whose own network fails would otherwise eject all targets and refuse all requests.
+func (b *Balancer) shouldSkipEjected(now time.Time, targets []*Target) bool {
+	ejected := 0
 	for _, u := range targets {
 		if u.Ejected(now) {
-			out++
+			ejected++
 		}
 	}
-	return out*percent <= len(targets)*maxEjected
+	return ejected*percent <= len(targets)*maxEjectedPercent
 }
--- a/core/balancer/balancer_test.go
+++ b/core/balancer/balancer_test.go
@@ -22,13 +22,13 @@
 
 func balancer(seed uint64) *Balancer { return &Balancer{Random: rand.New(rand.NewPCG(seed, 6)).Uint64} }
 
-func TestSlotsAreNeverPassed(t *testing.T) {
+func TestSlotsAreNeverExceeded(t *testing.T) {
 	is := is.New(t)
 	p, b := pool(5, 3), balancer(1)
 	var taken []*Target
 	for range 15 {
 		u := b.Choose(start, p, "almaty", nil)
-		is.True(u != nil) // every slot can be found
+		is.True(u != nil) // every free slot is found
 		taken = append(taken, u)
 	}
 	is.Equal(b.Choose(start, p, "almaty", nil), nil)
@@ -36,8 +36,8 @@
 	is.Equal(b.Choose(start, p, "almaty", nil), taken[0])
 }
 
-// freshest is the naive balancer: it follows the least reported load.
-func freshest(p *Pool) *Target {
+// leastReported is a naive balancer that chooses the target with the lowest reported load.
+func leastReported(p *Pool) *Target {
 	best := p.Tiers[0].Targets[0]
 	for _, u := range p.Tiers[0].Targets {
 		if u.report.Load().Load < best.report.Load().Load {
@@ -47,8 +47,8 @@
 	return best
 }
 
-// spread sends 30 requests between two reports and returns the most that one target got.
-func spread(choose func(p *Pool) *Target) int32 {
+// maxOutstanding sends 30 requests between two reports and returns the highest number that one target received.
+func maxOutstanding(choose func(p *Pool) *Target) int32 {
 	p := pool(10, 100)
 	for i, u := range p.Tiers[0].Targets {
 		u.SetReport(Report{Load: int32(50 + i), At: start})
@@ -61,23 +61,24 @@
 	return most
 }
 
-// Loads are reported once a second, and every instance sees the same report. If all follow it, everything
-// goes to one target until the next report: callers wait there while the others idle.
-func TestStaleReportsMakeNoHerd(t *testing.T) {
+// Loads are reported once a second, and all instances receive the same report. If all of them chose the target with the
+// lowest load, it would get all requests until the next report, and callers would wait while other targets are idle.
+func TestStaleReportsDoNotConcentrateRequests(t *testing.T) {
 	is := is.New(t)
-	naive := spread(func(p *Pool) *Target {
-		u := freshest(p)
+	naive := maxOutstanding(func(p *Pool) *Target {
+		u := leastReported(p)
 		u.Reserve(100)
 		return u
 	})
 	b := balancer(2)
-	ours := spread(func(p *Pool) *Target { return b.Choose(start, p, "almaty", nil) })
+	balanced := maxOutstanding(func(p *Pool) *Target { return b.Choose(start, p, "almaty", nil) })
 	is.Equal(naive, int32(30))
-	is.True(ours <= 6)
+	is.True(balanced <= 6)
 }
 
-// An instance's own slots are taken while others idle. It may use a slot of another instance, but only
-// where a fresh report shows room: otherwise the owner's work would be shed.
+// An instance's own slots are in use while slots of other instances are idle. It may use one of those, but only at a
+// target with a low load in a fresh report: otherwise requests of the instance that the slot is assigned to would be
+// shed.
 func TestBorrowing(t *testing.T) {
 	u := &Target{Slots: 4, Region: "almaty"}
 	p := &Pool{Tiers: []Tier{{Region: "almaty", Targets: []*Target{u}}}}
@@ -90,7 +91,7 @@
 	}{
 		{"half idle", 1, 0, true},
 		{"half busy", 2, 0, false},
-		{"stale report", 0, ReportAge, false},
+		{"stale report", 0, MaxReportAge, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -99,7 +100,7 @@
 			got := b.Choose(start, p, "almaty", nil)
 			is.Equal(got != nil, c.want)
 			if got != nil {
-				is.Equal(b.Choose(start, p, "almaty", nil), nil) // one at a time
+				is.Equal(b.Choose(start, p, "almaty", nil), nil) // only one borrowed slot at a time
 				got.Release()
 			}
 		})
@@ -117,38 +118,38 @@
 	is.Equal(b.Choose(start, p, "astana", nil), nil)
 }
 
-func TestColdTargetRamps(t *testing.T) {
+func TestNewTargetWarmsUp(t *testing.T) {
 	is := is.New(t)
 	u := &Target{Slots: 10, FirstSeen: start}
 	u.SetOwnSlots(10)
-	is.Equal(u.room(start), int32(1))
-	is.Equal(u.room(start.Add(WarmUp/2)), int32(5))
-	is.Equal(u.room(start.Add(WarmUp)), int32(10))
+	is.Equal(u.ownLimit(start), int32(1))
+	is.Equal(u.ownLimit(start.Add(WarmUpTime/2)), int32(5))
+	is.Equal(u.ownLimit(start.Add(WarmUpTime)), int32(10))
 }
 
-func TestFailingTargetIsEjectedAndComesBack(t *testing.T) {
+func TestFailingTargetIsEjectedTemporarily(t *testing.T) {
 	is := is.New(t)
 	p, b := pool(4, 100), balancer(4)
 	bad := p.Tiers[0].Targets[0]
-	for range ejectAfter {
+	for range ejectionThreshold {
 		bad.Fail(start)
 	}
 	for range 100 {
 		is.True(b.Choose(start, p, "almaty", nil) != bad)
 	}
-	later := start.Add(ejectBase)
+	later := start.Add(minEjection)
 	is.True(!bad.Ejected(later))
 	bad.Fail(later)
-	is.True(bad.Ejected(later.Add(ejectBase))) // longer the next time
+	is.True(bad.Ejected(later.Add(minEjection))) // the next ejection is longer
 }
 
-// This instance's own network fails, and every target seems to. Ejecting all of them would refuse every
-// caller even after the network is back.
+// This instance's own network fails, so that all targets appear to fail. If all of them were ejected, all callers would
+// be refused even after the network has recovered.
 func TestEjectionNeverEmptiesThePool(t *testing.T) {
 	is := is.New(t)
 	p, b := pool(4, 100), balancer(5)
 	for _, u := range p.Tiers[0].Targets[:3] {
-		for range ejectAfter {
+		for range ejectionThreshold {
 			u.Fail(start)
 		}
 	}
