--- a/core/balancer/balancer.go
+++ b/core/balancer/balancer.go
@@ -27,7 +27,7 @@
 	scale = 1024
 )
 
-// Report is the load, in requests, that a target reported about itself, and when.
+// Report is the load that a target reported about itself, in the unit of its slots, and when.
 type Report struct {
 	Load int32
 	At   time.Time
--- a/core/keeper/holders.go
+++ b/core/keeper/holders.go
@@ -9,7 +9,7 @@
 )
 
 // Holders returns the entry instances that may hold parts of quotas, in the order in which they were added. A new
-// leader requests their holdings before it allots more than the base amount.
+// leader requests what they hold before it allots more.
 func (k *Keeper) Holders() []*wire.QuotaHolder { return k.holders }
 
 func (k *Keeper) changeHolder(c *wire.HolderChange) {
--- a/core/keeper/plan_test.go
+++ b/core/keeper/plan_test.go
@@ -22,7 +22,7 @@
 
 // Two operators send changes based on the same version. If both were accepted, one change would be lost without its
 // sender being informed.
-func TestOneOfTwoChangesOnOneBaseWins(t *testing.T) {
+func TestOneOfTwoChangesOnTheSameBaseIsAccepted(t *testing.T) {
 	is := is.New(t)
 	k := &Keeper{}
 	is.Equal(outcome(k, put("one", 0, 3)), wire.PlanOutcome_PLAN_ACCEPTED)
--- a/core/planner/planner_test.go
+++ b/core/planner/planner_test.go
@@ -112,7 +112,7 @@
 			for _, p := range r.GetSplits() {
 				expected := float64(n) * p.GetWeight() / float64(total)
 				if diff := float64(got[p.GetService()]) - expected; diff > 2 || diff < -2 {
-					t.Fatalf("after %d requests %s got %d, due %.1f", n, p.GetService(), got[p.GetService()], expected)
+					t.Fatalf("after %d requests %s got %d, expected %.1f", n, p.GetService(), got[p.GetService()], expected)
 				}
 			}
 		}
--- a/core/registrar/registrar_test.go
+++ b/core/registrar/registrar_test.go
@@ -156,7 +156,7 @@
 
 // A target crashes, and its address is reused by a target of another service. Then a delayed heartbeat of the crashed
 // target arrives. If it were accepted, requests for its service would be sent to the new target.
-func TestAddressBelongsToTheLatestStarted(t *testing.T) {
+func TestAddressBelongsToTheTargetStartedLast(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	var g Registrar
