--- a/controller/internal/consenter/routing.go
+++ b/controller/internal/consenter/routing.go
@@ -72,7 +72,7 @@
 	next := &Routing{
 		Revision:  c.revision,
 		Plan:      c.state.Plan(),
-		Evacuated: c.state.Evacuated(),
+		Evacuated: c.state.EvacuatedZones(),
 		Members:   c.replica.Members(),
 		Leader:    c.replica.LeaderMember().GetName(),
 	}
@@ -95,5 +95,5 @@
 	if plan == nil {
 		return nil
 	}
-	return planner.Seal(plan)
+	return planner.HashKeys(plan)
 }
--- a/core/keeper/plan_test.go
+++ b/core/keeper/plan_test.go
@@ -20,8 +20,9 @@
 
 func outcome(k *Keeper, c *wire.Command) wire.PlanOutcome { return k.Apply(c).GetPlan().GetOutcome() }
 
-// Two operators build on the same version. Both told that they won, one of them would find its change gone.
-func TestOneOfTwoChangesOnOneBaseWins(t *testing.T) {
+// Two operators send changes based on the same version. If both were accepted, one change would be lost without its
+// sender being informed.
+func TestOneOfTwoChangesOnTheSameBaseIsAccepted(t *testing.T) {
 	is := is.New(t)
 	k := &Keeper{}
 	is.Equal(outcome(k, put("one", 0, 3)), wire.PlanOutcome_PLAN_ACCEPTED)
@@ -31,8 +32,9 @@
 	is.Equal(k.Plan().GetVersion(), uint64(5))
 }
 
-// The answer to an accepted change is lost, and its sender asks again after others have changed the plan, the
-// controllers have restarted from a snapshot, or both. A refusal would tell it that its change was never in force.
+// The answer to an accepted change is lost, and its sender resends it after others have changed the plan, the
+// controllers have restarted from a snapshot, or both. A refusal would mean to the sender that its change was never in
+// force.
 func TestAcceptedChangesAreAcknowledgedForEver(t *testing.T) {
 	is := is.New(t)
 	k := &Keeper{}
@@ -49,7 +51,7 @@
 	is.Equal(restored.Plan().GetVersion(), uint64(599))
 }
 
-func TestRefusedChangesLeaveNothing(t *testing.T) {
+func TestRefusedChangesHaveNoEffect(t *testing.T) {
 	is := is.New(t)
 	k := &Keeper{}
 	bad := put("bad", 0, 1)
@@ -66,18 +68,18 @@
 	for _, e := range []*wire.Evacuation{{Zone: "b", On: true}, {Zone: "a", On: true}, {Zone: "b", On: true}, {Zone: "c"}} {
 		k.Apply(&wire.Command{Evacuation: e})
 	}
-	is.Equal(k.Evacuated(), []string{"a", "b"})
+	is.Equal(k.EvacuatedZones(), []string{"a", "b"})
 	data, err := k.Snapshot()
 	is.NoErr(err)
 	restored := &Keeper{}
 	is.NoErr(restored.Restore(data))
-	is.Equal(restored.Evacuated(), []string{"a", "b"})
+	is.Equal(restored.EvacuatedZones(), []string{"a", "b"})
 	restored.Apply(&wire.Command{Evacuation: &wire.Evacuation{Zone: "a"}})
-	is.Equal(restored.Evacuated(), []string{"b"})
-	is.Equal(k.Evacuated(), []string{"a", "b"})
+	is.Equal(restored.EvacuatedZones(), []string{"b"})
+	is.Equal(k.EvacuatedZones(), []string{"a", "b"})
 }
 
-func TestReadsAnswerThePlanInForce(t *testing.T) {
+func TestReadsReturnThePlanInForce(t *testing.T) {
 	is := is.New(t)
 	k := &Keeper{}
 	is.Equal(k.Apply(&wire.Command{Read: true}).GetCurrent(), nil)
--- a/entry/internal/carrier/organisation.go
+++ b/entry/internal/carrier/organisation.go
@@ -33,7 +33,7 @@
 		return &out
 	}
 	j.organisation = organisation
-	regions, allowed := planner.Common(j.route.GetRegions(), organisation.GetRegions())
+	regions, allowed := planner.CommonRegions(j.route.GetRegions(), organisation.GetRegions())
 	if !allowed {
 		out := refuse(http.StatusServiceUnavailable, "regions", j.started.Add(regionsRetryDelay))
 		return &out
--- a/entry/internal/carrier/organisation_test.go
+++ b/entry/internal/carrier/organisation_test.go
@@ -55,7 +55,7 @@
 	p.Organisations = []*wire.Organisation{
 		{Name: "acme", Keys: []string{secret}}, {Name: "bound", Keys: []string{"bound"}, Regions: []string{"q"}},
 	}
-	view.Table = planner.NewTable(planner.Seal(p))
+	view.Table = planner.NewTable(planner.HashKeys(p))
 	c.Views = viewsWith(&view)
 }
 
--- a/standin/internal/experimenter/policies.go
+++ b/standin/internal/experimenter/policies.go
@@ -109,11 +109,11 @@
 		tier.Targets = append(tier.Targets, u)
 	}
 	for i, n := range partitioner.Partition(in.name, partitioner.NewMembers(w.partners()), known) {
-		tier.Targets[i].SetOwn(n)
+		tier.Targets[i].SetOwnSlots(n)
 	}
 	in.pool = &balancer.Pool{Tiers: []balancer.Tier{tier}}
-	own := in.pool.Own(w.now)
-	in.limit.Bound(own, own+in.pool.Borrowable(w.now)/int(w.Entries))
+	own := in.pool.OwnSlots(w.now)
+	in.limit.Bound(own, own+in.pool.BorrowableSlots(w.now)/int(w.Entries))
 }
 
 // partners lists the entry instances.
