--- a/entry/internal/dispatcher/attempt.go
+++ b/entry/internal/dispatcher/attempt.go
@@ -127,7 +127,7 @@
 		}
 	case unrun, answered:
 	}
-	return j.sends < int(max(1, j.route.GetAttempts())) && g.again(now, j.view.Entries)
+	return j.sends < int(max(1, j.route.GetAttempts())) && g.again(now, j.view.InstanceCount)
 }
 
 // attempt sends the request to one target, whose slot is already taken.
--- a/entry/internal/dispatcher/dispatcher_test.go
+++ b/entry/internal/dispatcher/dispatcher_test.go
@@ -145,7 +145,7 @@
 		specs = append(specs, placer.Spec{Name: name, Region: "r", Zone: "z", Slots: 2, OwnSlots: 2})
 	}
 	view := &watcher.View{
-		Table: planner.NewTable(plan()), Targets: map[string][]placer.Spec{"listings": specs}, Entries: 1,
+		Table: planner.NewTable(plan()), Targets: map[string][]placer.Spec{"listings": specs}, InstanceCount: 1,
 	}
 	c := &Dispatcher{
 		Self: "e1", Locator: alone{}, Quotas: unbounded{}, Region: "r", Zone: "z", Codec: translator.Face{}, Views: seen(view), Sender: s,
--- a/entry/internal/dispatcher/gate.go
+++ b/entry/internal/dispatcher/gate.go
@@ -123,7 +123,7 @@
 func (g *gate) follow(now time.Time, specs []placer.Spec, v *watcher.View, peers Locator, self int) []placer.Spec {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	withdrawn := g.place.Update(now, specs, v.Entries)
+	withdrawn := g.place.Update(now, specs, v.InstanceCount)
 	if g.peers == nil || !slices.Equal(g.peers, v.Peers) {
 		g.peers = v.Peers
 		g.place.SetOwnership(func(object uint64) bool { return peers.Owns(v.Peers, object) }, self, len(v.Peers))
--- a/entry/internal/enforcer/enforcer.go
+++ b/entry/internal/enforcer/enforcer.go
@@ -113,9 +113,9 @@
 		a.plan = v.Table.Plan
 		a.holder.Update(now, a.plan)
 	}
-	if a.instances != v.Entries || !slices.Equal(a.regionPeers, v.Peers) {
-		a.instances, a.regionPeers = v.Entries, v.Peers
-		a.holder.SetFleet(quoter.Fleet{Total: v.Entries, InRegion: len(v.Peers), Owns: func(organisation string) bool {
+	if a.instances != v.InstanceCount || !slices.Equal(a.regionPeers, v.Peers) {
+		a.instances, a.regionPeers = v.InstanceCount, v.Peers
+		a.holder.SetFleet(quoter.Fleet{Total: v.InstanceCount, InRegion: len(v.Peers), Owns: func(organisation string) bool {
 			return a.Peers.Owner(v.Peers, keyOf(organisation)).Name == a.Self.GetName()
 		}})
 	}
--- a/entry/internal/enforcer/enforcer_test.go
+++ b/entry/internal/enforcer/enforcer_test.go
@@ -133,7 +133,7 @@
 
 // view returns a view with so many entry instances that one of them holds the region's part.
 func (r *region) view(p *wire.Plan) *watcher.View {
-	return &watcher.View{Table: planner.NewTable(p), Entries: 100, Peers: r.peers}
+	return &watcher.View{Table: planner.NewTable(p), InstanceCount: 100, Peers: r.peers}
 }
 
 func (r *region) admit(name string) quoter.Verdict {
--- a/entry/internal/watcher/view.go
+++ b/entry/internal/watcher/view.go
@@ -24,8 +24,8 @@
 	Table *planner.Table
 	// Targets holds what may get requests, by service.
 	Targets map[string][]placer.Spec
-	// Entries is how many entry instances share the targets.
-	Entries int
+	// InstanceCount is how many entry instances share the targets.
+	InstanceCount int
 	// Peers are those of them in this region, itself among them.
 	Peers []locator.Peer
 }
@@ -177,7 +177,7 @@
 // publish builds a view from the state.
 func (w *Watcher) publish(now time.Time) {
 	s := &w.state
-	v := &View{Table: s.plan, Targets: map[string][]placer.Spec{}, Entries: max(1, len(s.nodes))}
+	v := &View{Table: s.plan, Targets: map[string][]placer.Spec{}, InstanceCount: max(1, len(s.nodes))}
 	for _, record := range s.targets.All() {
 		address, err := netip.ParseAddrPort(record.GetAddress())
 		if err != nil || record.GetState() != wire.TargetState_TARGET_READY || record.GetSilent() ||
--- a/entry/internal/watcher/watcher_test.go
+++ b/entry/internal/watcher/watcher_test.go
@@ -275,13 +275,13 @@
 	}
 	c, address := serve(t, all)
 	w := begin(t, address)
-	until(t, func() bool { return w.View() != nil && w.View().Entries == 3 })
+	until(t, func() bool { return w.View() != nil && w.View().InstanceCount == 3 })
 	gone := &wire.Seen{Node: &wire.Node{Name: "e2", Lost: true}}
 	more := &wire.Seen{Node: &wire.Node{Name: "e4"}}
 	c.set(&wire.WatchResponse{Run: 1, Counter: 6, Linked: true, Revision: 5, Seen: []*wire.Seen{gone}})
-	until(t, func() bool { return w.View().Entries == 2 })
+	until(t, func() bool { return w.View().InstanceCount == 2 })
 	c.set(&wire.WatchResponse{Run: 1, Counter: 7, Linked: true, Revision: 5, Seen: []*wire.Seen{more}})
-	until(t, func() bool { return w.View().Entries == 3 })
+	until(t, func() bool { return w.View().InstanceCount == 3 })
 	is.True(c.count() > 2)
 }
 
