--- a/entry/internal/broadcaster/broadcaster.go
+++ b/entry/internal/broadcaster/broadcaster.go
@@ -160,7 +160,7 @@
 	if v == nil {
 		return out
 	}
-	for _, n := range v.Nodes {
+	for _, n := range v.Roster {
 		address, err := netip.ParseAddrPort(n.GetPeer())
 		if err != nil || n.GetName() == s.Instance || n.GetLost() {
 			continue
--- a/entry/internal/directory/directory.go
+++ b/entry/internal/directory/directory.go
@@ -172,7 +172,7 @@
 		Number:    d.number,
 		Catalogue: d.catalogue,
 		Pools:     map[string]*balancer.Pool{},
-		Nodes:     d.nodes,
+		Roster:    d.nodes,
 		Stopping:  d.leaving.Load(),
 	}
 	for _, s := range d.catalogue.Services {
--- a/entry/internal/directory/view.go
+++ b/entry/internal/directory/view.go
@@ -21,7 +21,7 @@
 	// Instances are the entry instances that may be named to callers.
 	Instances *chooser.List
 	Sites     *mapper.Table
-	Nodes     []*wire.Node
+	Roster    []*wire.Node
 	Stopping  bool
 }
 
