--- a/entry/internal/cli/collector.go
+++ b/entry/internal/cli/collector.go
@@ -44,7 +44,7 @@
 	if v == nil {
 		return
 	}
-	gauge(numberDesc, float64(v.Number))
+	gauge(numberDesc, float64(v.CatalogueNumber))
 	for _, l := range v.Catalogue.Limits() {
 		gauge(shareDesc, float64(c.directory.Holder.Limit(now, l.Resource)), l.Resource)
 	}
--- a/entry/internal/directory/directory.go
+++ b/entry/internal/directory/directory.go
@@ -169,16 +169,16 @@
 func (d *Directory) publish(now time.Time) {
 	d.stale = false
 	v := &View{
-		Number:    d.number,
-		Catalogue: d.catalogue,
-		Pools:     map[string]*balancer.Pool{},
-		Roster:    d.nodes,
-		Stopping:  d.leaving.Load(),
+		CatalogueNumber: d.number,
+		Catalogue:       d.catalogue,
+		Pools:           map[string]*balancer.Pool{},
+		Roster:          d.nodes,
+		Stopping:        d.leaving.Load(),
 	}
 	for _, s := range d.catalogue.Services {
 		v.Pools[s.Name] = d.buildPool(now, d.catalogue, s.Name)
 	}
-	if old := d.view.Load(); old != nil && old.Number == v.Number {
+	if old := d.view.Load(); old != nil && old.CatalogueNumber == v.CatalogueNumber {
 		v.Sites = old.Sites
 	} else {
 		v.Sites = buildSites(d.catalogue)
--- a/entry/internal/directory/directory_test.go
+++ b/entry/internal/directory/directory_test.go
@@ -94,11 +94,11 @@
 			is.NoErr(d.Health())
 			s.set(change)
 			until(t, func() bool { return !d.Confirmed(time.Now()) })
-			is.Equal(d.View().Number, uint64(5))
+			is.Equal(d.View().CatalogueNumber, uint64(5))
 			var lapsed *LapsedError
 			is.True(errors.As(d.Health(), &lapsed))
 			s.set(func(s *script) { s.number, s.group, s.down = 6, 7, false })
-			until(t, func() bool { return d.Confirmed(time.Now()) && d.View().Number == 6 })
+			until(t, func() bool { return d.Confirmed(time.Now()) && d.View().CatalogueNumber == 6 })
 		})
 	}
 }
--- a/entry/internal/directory/heartbeat.go
+++ b/entry/internal/directory/heartbeat.go
@@ -69,7 +69,7 @@
 		},
 	}
 	if v != nil {
-		request.Node.Number = v.Number
+		request.Node.Number = v.CatalogueNumber
 	}
 	response, err := d.Renewer.Renew(d.ctx, request)
 	if err != nil {
--- a/entry/internal/directory/view.go
+++ b/entry/internal/directory/view.go
@@ -14,8 +14,8 @@
 
 // View is an immutable picture of the control state, read by the goroutines that carry traffic.
 type View struct {
-	Number    uint64
-	Catalogue *cataloguer.Catalogue
+	CatalogueNumber uint64
+	Catalogue       *cataloguer.Catalogue
 	// Pools holds the targets of each service.
 	Pools map[string]*balancer.Pool
 	// Instances are the entry instances that may be named to callers.
--- a/entry/internal/resolver/resolver.go
+++ b/entry/internal/resolver/resolver.go
@@ -85,7 +85,7 @@
 	_, _ = w.Write(body)
 	h.Count("answered")
 	_ = level.Info(h.Logger).Log("msg", "lookup", "service", service, "client", client, "region", region,
-		"entry", chosen[0].Name, "number", view.Number)
+		"entry", chosen[0].Name, "number", view.CatalogueNumber)
 }
 
 // Append writes an answer as JSON. It is written by hand because a look-up may not allocate per entry;
