--- a/entry/internal/dispatcher/attempt.go
+++ b/entry/internal/dispatcher/attempt.go
@@ -244,7 +244,7 @@
 // clear takes a request that succeeded off all instances' lists of suspects.
 func (c *Dispatcher) clear(now time.Time, j *job) {
 	if c.Quarantine.Succeed(now, j.fingerprint) {
-		c.Views.Report(&wire.Loss{Fingerprint: j.fingerprint[:], Success: true, Incarnation: rand.Uint64()})
+		c.Views.ReportLoss(&wire.Loss{Fingerprint: j.fingerprint[:], Success: true, Incarnation: rand.Uint64()})
 	}
 }
 
@@ -280,7 +280,7 @@
 	}
 	run := quarantiner.Run{Target: t.Name, Incarnation: t.Incarnation}
 	if c.Quarantine.Lose(time.Now(), j.fingerprint, run) {
-		c.Views.Report(&wire.Loss{Fingerprint: j.fingerprint[:], Target: t.Name, Incarnation: t.Incarnation})
+		c.Views.ReportLoss(&wire.Loss{Fingerprint: j.fingerprint[:], Target: t.Name, Incarnation: t.Incarnation})
 	}
 }
 
--- a/entry/internal/dispatcher/dispatcher.go
+++ b/entry/internal/dispatcher/dispatcher.go
@@ -39,7 +39,7 @@
 // Views gives the newest view of the control state.
 type Views interface {
 	View() *watcher.View
-	Report(l *wire.Loss)
+	ReportLoss(l *wire.Loss)
 	Settle(h *wire.Host)
 	Observe(r aggregator.Reading)
 }
--- a/entry/internal/dispatcher/dispatcher_test.go
+++ b/entry/internal/dispatcher/dispatcher_test.go
@@ -103,7 +103,7 @@
 }
 
 func (v *views) View() *watcher.View        { return v.view.Load() }
-func (v *views) Report(*wire.Loss)          {}
+func (v *views) ReportLoss(*wire.Loss)      {}
 func (v *views) Settle(*wire.Host)          {}
 func (v *views) Observe(aggregator.Reading) {}
 
--- a/entry/internal/watcher/teller.go
+++ b/entry/internal/watcher/teller.go
@@ -55,7 +55,7 @@
 }
 
 // Report passes on that a request was in flight when a target died.
-func (w *Watcher) Report(l *wire.Loss) {
+func (w *Watcher) ReportLoss(l *wire.Loss) {
 	w.teller.add(l)
 	w.teller.nudge()
 }
--- a/entry/internal/watcher/watcher_test.go
+++ b/entry/internal/watcher/watcher_test.go
@@ -242,7 +242,7 @@
 	c.set(answer(6, 4, true))
 	reports := 0
 	until(t, func() bool {
-		w.Report(&wire.Loss{Target: "t1", Incarnation: uint64(reports)})
+		w.ReportLoss(&wire.Loss{Target: "t1", Incarnation: uint64(reports)})
 		reports++
 		return version(w) == 4
 	})
