--- a/entry/internal/dispatcher/dispatcher.go
+++ b/entry/internal/dispatcher/dispatcher.go
@@ -40,7 +40,7 @@
 type Views interface {
 	View() *watcher.View
 	ReportLoss(l *wire.Loss)
-	Settle(h *wire.Host)
+	ReportHost(h *wire.Host)
 	Observe(r aggregator.Reading)
 }
 
@@ -177,7 +177,7 @@
 
 // settle makes an object's new place known.
 func (c *Dispatcher) settle(service string, object uint64, place placer.Assignment) {
-	c.Views.Settle(&wire.Host{
+	c.Views.ReportHost(&wire.Host{
 		Object: object, Service: service, Target: place.Target, Route: place.Route, Version: place.Version,
 	})
 	c.Metrics.placed.WithLabelValues(service, place.Reason).Inc()
--- a/entry/internal/dispatcher/dispatcher_test.go
+++ b/entry/internal/dispatcher/dispatcher_test.go
@@ -104,7 +104,7 @@
 
 func (v *views) View() *watcher.View        { return v.view.Load() }
 func (v *views) ReportLoss(*wire.Loss)      {}
-func (v *views) Settle(*wire.Host)          {}
+func (v *views) ReportHost(*wire.Host)      {}
 func (v *views) Observe(aggregator.Reading) {}
 
 // alone is the only entry instance of its region; it knows no object.
--- a/entry/internal/watcher/teller.go
+++ b/entry/internal/watcher/teller.go
@@ -61,7 +61,7 @@
 }
 
 // Settle passes on where an object is kept warm from now on.
-func (w *Watcher) Settle(h *wire.Host) {
+func (w *Watcher) ReportHost(h *wire.Host) {
 	h.Region = w.Node.GetRegion()
 	w.teller.settle(h)
 	w.teller.nudge()
