--- a/entry/internal/cli/routed.go
+++ b/entry/internal/cli/routed.go
@@ -58,13 +58,13 @@
 	}, p.registry)
 	quarantine := &quarantiner.Quarantiner{Confirm: confirmedLosses}
 	p.watcher = &watcher.Watcher{
-		Node: &wire.Node{
+		Instance: &wire.Node{
 			Name: settings.Name, Caller: settings.Caller.String(), Peer: settings.Peer.String(), Region: settings.Region, Zone: settings.Zone,
 		},
-		Seeds:  settings.Seeds,
-		Dialer: &dialer.Dialer{Plain: true},
-		Logger: p.logger,
-		Losses: func(reports []*wire.Loss) { takeLosses(quarantine, reports) },
+		Seeds:    settings.Seeds,
+		Dialer:   &dialer.Dialer{Plain: true},
+		Logger:   p.logger,
+		OnLosses: func(reports []*wire.Loss) { takeLosses(quarantine, reports) },
 	}
 	p.carrier = &dispatcher.Dispatcher{
 		Self: settings.Name, Region: settings.Region, Zone: settings.Zone, Codec: translator.Face{}, Views: p.watcher,
@@ -79,7 +79,7 @@
 	}
 	p.locator.Spender = p.asker
 	p.carrier.Locator, p.carrier.Quotas = p.locator, p.asker
-	p.watcher.Changed, p.watcher.Hosts, p.watcher.Loads = p.follow, p.carrier.UpdateHosts, p.carrier.UpdateLoads
+	p.watcher.OnView, p.watcher.OnHosts, p.watcher.OnLoads = p.follow, p.carrier.UpdateHosts, p.carrier.UpdateLoads
 	p.leaver = &leaver{watcher: p.watcher, carrier: p.carrier, serve: settings.Answer, logger: p.logger}
 	return p
 }
@@ -146,7 +146,7 @@
 	if err != nil {
 		return err
 	}
-	p.watcher.Reseed(settings.Seeds)
+	p.watcher.SetSeeds(settings.Seeds)
 	return nil
 }
 
--- a/entry/internal/watcher/view.go
+++ b/entry/internal/watcher/view.go
@@ -30,49 +30,49 @@
 	Peers []locator.Peer
 }
 
-// take puts an answer in force.
-func (w *Watcher) take(now time.Time, r *wire.WatchResponse) {
+// apply puts an answer in force.
+func (w *Watcher) apply(now time.Time, r *wire.WatchResponse) {
 	s := &w.state
 	s.run, s.counter, s.hosted, s.loaded = r.GetRun(), r.GetCounter(), r.GetHosted(), r.GetLoaded()
-	w.takeControllers(r)
-	stale := w.takeRouting(now, r)
-	stale = w.takeRecords(now, r.GetRecords()) || stale
-	stale = w.takeNodes(r) || stale
-	stale = w.warmUp(now) || stale
+	w.applyControllers(r)
+	stale := w.applyRouting(now, r)
+	stale = w.applyRecords(now, r.GetRecords()) || stale
+	stale = w.applyInstances(r) || stale
+	stale = w.expireCold(now) || stale
 	if len(r.GetLosses()) > 0 {
-		w.Losses(r.GetLosses())
+		w.OnLosses(r.GetLosses())
 	}
 	if len(r.GetHosts()) > 0 {
-		w.Hosts(r.GetHosts())
+		w.OnHosts(r.GetHosts())
 	}
 	if len(r.GetLoads().GetTargets()) > 0 {
-		w.Loads(aggregator.Decode(r.GetLoads()))
+		w.OnLoads(aggregator.Decode(r.GetLoads()))
 	}
 	if stale && s.plan != nil {
 		w.publish(now)
 	}
 }
 
-// warmUp forgets the cold times that are over; the slots of such targets are dealt again.
-func (w *Watcher) warmUp(now time.Time) bool {
-	over := false
-	for name, end := range w.state.cold {
+// expireCold forgets the cold times that are over; the slots of such targets are dealt again.
+func (w *Watcher) expireCold(now time.Time) bool {
+	expired := false
+	for name, end := range w.state.coldUntil {
 		if !now.Before(end) {
-			delete(w.state.cold, name)
-			over = true
+			delete(w.state.coldUntil, name)
+			expired = true
 		}
 	}
-	return over
+	return expired
 }
 
-func (w *Watcher) takeControllers(r *wire.WatchResponse) {
-	if known := w.addresses(r.GetControllers()); len(known) > 0 {
-		w.state.controllers = known
+func (w *Watcher) applyControllers(r *wire.WatchResponse) {
+	if addresses := w.parseAddresses(r.GetControllers()); len(addresses) > 0 {
+		w.state.controllers = addresses
 	}
-	w.state.near = w.addresses(r.GetNear())
+	w.state.near = w.parseAddresses(r.GetNear())
 }
 
-func (w *Watcher) addresses(texts []string) []netip.AddrPort {
+func (w *Watcher) parseAddresses(texts []string) []netip.AddrPort {
 	var out []netip.AddrPort
 	for _, text := range texts {
 		a, err := netip.ParseAddrPort(text)
@@ -85,25 +85,25 @@
 	return out
 }
 
-// takeNodes follows the entry instances that share the targets.
-func (w *Watcher) takeNodes(r *wire.WatchResponse) bool {
+// applyInstances follows the entry instances that share the targets.
+func (w *Watcher) applyInstances(r *wire.WatchResponse) bool {
 	if r.GetWhole() {
-		w.state.nodes = map[string]*wire.Node{}
+		w.state.instances = map[string]*wire.Node{}
 	}
 	for _, seen := range r.GetSeen() {
 		n := seen.GetNode()
-		w.state.nodes[n.GetName()] = n
+		w.state.instances[n.GetName()] = n
 		if n.GetLost() {
-			delete(w.state.nodes, n.GetName())
+			delete(w.state.instances, n.GetName())
 		}
 	}
 	return r.GetWhole() || len(r.GetSeen()) > 0
 }
 
-// takeRouting takes the plan and evacuations if they are newer. A controller that lags, or that came back with an
+// applyRouting takes the plan and evacuations if they are newer. A controller that lags, or that came back with an
 // old disk, must not make an accepted change revert here; and an instance that knows no plan yet takes none from a
 // controller that lost touch with the others.
-func (w *Watcher) takeRouting(now time.Time, r *wire.WatchResponse) bool {
+func (w *Watcher) applyRouting(now time.Time, r *wire.WatchResponse) bool {
 	s := &w.state
 	if r.GetRevision() <= s.revision || s.plan == nil && !r.GetLinked() {
 		return false
@@ -115,61 +115,61 @@
 			"revision", s.revision, "routes", len(r.GetPlan().GetRoutes()))
 	}
 	if !slices.Equal(s.evacuated, r.GetEvacuated()) {
-		w.coolReturned(now, r.GetEvacuated())
+		w.markReturnedCold(now, r.GetEvacuated())
 		s.evacuated = r.GetEvacuated()
 		_ = level.Info(w.Logger).Log("msg", "evacuated zones", "zones", strings.Join(s.evacuated, ","), "revision", s.revision)
 	}
 	return true
 }
 
-// coolReturned treats the targets of a zone that takes requests again as cold: their caches had no traffic, and the
+// markReturnedCold treats the targets of a zone that takes requests again as cold: their caches had no traffic, and the
 // first rush would crash them.
-func (w *Watcher) coolReturned(now time.Time, evacuated []string) {
+func (w *Watcher) markReturnedCold(now time.Time, evacuated []string) {
 	for _, record := range w.state.targets.All() {
 		zone := record.GetZone()
 		if !slices.Contains(w.state.evacuated, zone) || slices.Contains(evacuated, zone) || w.state.plan == nil {
 			continue
 		}
 		if service, ok := w.state.plan.Service(record.GetService()); ok {
-			w.state.cold[record.GetName()] = now.Add(time.Duration(service.GetCold()))
+			w.state.coldUntil[record.GetName()] = now.Add(time.Duration(service.GetCold()))
 		}
 	}
 }
 
-// maxSingle is how many targets of one answer get a log line each. A whole picture would else be a line for each target
+// maxLoggedTargets is how many targets of one answer get a log line each. A whole picture would else be a line for each target
 // at each entry instance; the controllers log every target that announces itself or leaves.
-const maxSingle = 8
+const maxLoggedTargets = 8
 
-// takeRecords follows the targets, and reports whether any of them changed.
-func (w *Watcher) takeRecords(now time.Time, records []*wire.Record) bool {
-	taken, ready := 0, 0
+// applyRecords follows the targets, and reports whether any of them changed.
+func (w *Watcher) applyRecords(now time.Time, records []*wire.Record) bool {
+	merged, ready := 0, 0
 	for _, r := range records {
-		if !w.takeRecord(now, r) {
+		if !w.applyRecord(now, r) {
 			continue
 		}
-		taken++
+		merged++
 		if r.GetState() == wire.TargetState_TARGET_READY && !r.GetSilent() {
 			ready++
 		}
-		if len(records) <= maxSingle {
+		if len(records) <= maxLoggedTargets {
 			_ = level.Info(w.Logger).Log("msg", "target", "target", r.GetName(), "incarnation", r.GetIncarnation(),
 				"sequence", r.GetSequence(), "service", r.GetService(), "zone", r.GetZone(), "state", r.GetState(),
 				"silent", r.GetSilent(), "cold", time.Duration(r.GetCold()))
 		}
 	}
-	if len(records) > maxSingle {
-		_ = level.Info(w.Logger).Log("msg", "targets", "taken", taken, "ready", ready, "gone", taken-ready,
-			"controller", w.state.at, "counter", w.state.counter)
+	if len(records) > maxLoggedTargets {
+		_ = level.Info(w.Logger).Log("msg", "targets", "taken", merged, "ready", ready, "gone", merged-ready,
+			"controller", w.state.controller, "counter", w.state.counter)
 	}
-	return taken > 0
+	return merged > 0
 }
 
-func (w *Watcher) takeRecord(now time.Time, r *wire.Record) bool {
+func (w *Watcher) applyRecord(now time.Time, r *wire.Record) bool {
 	if !w.state.targets.Merge(now, r) {
 		return false
 	}
-	if end := now.Add(time.Duration(r.GetCold())); r.GetCold() > 0 && end.After(w.state.cold[r.GetName()]) {
-		w.state.cold[r.GetName()] = end
+	if end := now.Add(time.Duration(r.GetCold())); r.GetCold() > 0 && end.After(w.state.coldUntil[r.GetName()]) {
+		w.state.coldUntil[r.GetName()] = end
 	}
 	return true
 }
@@ -177,7 +177,7 @@
 // publish builds a view from the state.
 func (w *Watcher) publish(now time.Time) {
 	s := &w.state
-	v := &View{Table: s.plan, Targets: map[string][]placer.Spec{}, InstanceCount: max(1, len(s.nodes))}
+	v := &View{Table: s.plan, Targets: map[string][]placer.Spec{}, InstanceCount: max(1, len(s.instances))}
 	for _, record := range s.targets.All() {
 		address, err := netip.ParseAddrPort(record.GetAddress())
 		if err != nil || record.GetState() != wire.TargetState_TARGET_READY || record.GetSilent() ||
@@ -191,25 +191,25 @@
 		v.Targets[record.GetService()] = append(v.Targets[record.GetService()], placer.Spec{
 			Name: record.GetName(), Incarnation: record.GetIncarnation(), Address: address,
 			Region: record.GetRegion(), Zone: record.GetZone(), Slots: record.GetSlots(),
-			ColdUntil: s.cold[record.GetName()], Rate: coldRate(service),
+			ColdUntil: s.coldUntil[record.GetName()], Rate: coldRate(service),
 		})
 	}
 	v.Peers = w.peers()
-	partners := w.partners()
+	members := w.members()
 	for name := range v.Targets {
-		w.deal(now, v.Targets[name], partners)
+		w.assignSlots(now, v.Targets[name], members)
 	}
 	w.view.Store(v)
-	w.Changed(v)
+	w.OnView(v)
 }
 
 // peers lists the entry instances of this region that stay and can be asked, this one among them.
 func (w *Watcher) peers() []locator.Peer {
-	nodes := maps.Clone(w.state.nodes)
-	nodes[w.Node.GetName()] = w.node(false)
+	instances := maps.Clone(w.state.instances)
+	instances[w.Instance.GetName()] = w.describe(false)
 	var out []locator.Peer
-	for _, n := range nodes {
-		if n.GetRegion() != w.Node.GetRegion() || n.GetLeaving() {
+	for _, n := range instances {
+		if n.GetRegion() != w.Instance.GetRegion() || n.GetLeaving() {
 			continue
 		}
 		address, err := netip.ParseAddrPort(n.GetPeer())
@@ -223,52 +223,52 @@
 	return out
 }
 
-// coldOver is how far above its rate a cold target may be pushed in a second, and coldSpare what comes on top. Two
+// coldOvershoot is how far above its rate a cold target may be pushed in a second, and coldAllowance what comes on top. Two
 // entry instances may both take a cold target for theirs while they learn of each other, so each keeps to half.
 const (
-	coldOver  = 1.5
-	coldSpare = 5
+	coldOvershoot = 1.5
+	coldAllowance = 5
 )
 
 func coldRate(s *wire.Service) float64 {
 	if s.GetRate() == 0 {
 		return 1
 	}
-	return min(s.GetRate(), (s.GetRate()*coldOver+coldSpare)/2)
+	return min(s.GetRate(), (s.GetRate()*coldOvershoot+coldAllowance)/2)
 }
 
-// partners lists the entry instances that share the targets.
-func (w *Watcher) partners() *partitioner.Members {
-	out := []partitioner.Instance{{Name: w.Node.GetName(), Region: w.Node.GetRegion()}}
-	for _, n := range w.state.nodes {
-		if n.GetName() != w.Node.GetName() && !n.GetLeaving() {
+// members lists the entry instances that share the targets.
+func (w *Watcher) members() *partitioner.Members {
+	out := []partitioner.Instance{{Name: w.Instance.GetName(), Region: w.Instance.GetRegion()}}
+	for _, n := range w.state.instances {
+		if n.GetName() != w.Instance.GetName() && !n.GetLeaving() {
 			out = append(out, partitioner.Instance{Name: n.GetName(), Region: n.GetRegion()})
 		}
 	}
 	return partitioner.NewMembers(out)
 }
 
-// deal gives each slot to one entry instance, and each cold target whole to one.
-func (w *Watcher) deal(now time.Time, specs []placer.Spec, partners *partitioner.Members) {
+// assignSlots gives each slot to one entry instance, and each cold target whole to one.
+func (w *Watcher) assignSlots(now time.Time, specs []placer.Spec, members *partitioner.Members) {
 	slots := make([]partitioner.Target, 0, len(specs))
 	for _, s := range specs {
 		slots = append(slots, partitioner.Target{Name: s.Name, Region: s.Region, Slots: s.Slots})
 	}
-	own := partitioner.Partition(w.Node.GetName(), partners, slots)
+	ownSlots := partitioner.Partition(w.Instance.GetName(), members, slots)
 	for i := range specs {
-		specs[i].OwnSlots = own[i]
+		specs[i].OwnSlots = ownSlots[i]
 		if !now.Before(specs[i].ColdUntil) {
 			continue
 		}
 		specs[i].OwnSlots = 0
-		if partitioner.Owner(specs[i].Name, partners, specs[i].Region) == w.Node.GetName() {
+		if partitioner.Owner(specs[i].Name, members, specs[i].Region) == w.Instance.GetName() {
 			specs[i].OwnSlots = specs[i].Slots
 		}
 	}
 }
 
-// BlindError says that this instance has no routing plan yet.
-type BlindError struct{}
+// NoPlanError says that this instance has no routing plan yet.
+type NoPlanError struct{}
 
 // Error implements error.
-func (*BlindError) Error() string { return "no routing plan yet" }
+func (*NoPlanError) Error() string { return "no routing plan yet" }
--- a/entry/internal/watcher/watcher.go
+++ b/entry/internal/watcher/watcher.go
@@ -29,33 +29,33 @@
 	// callTimeout is the second that a controller holds a call without news, and a round trip with one loss. A change has
 	// to be in force within 2.5 s, also where a controller has just frozen.
 	callTimeout = 1800 * time.Millisecond
-	// pause is waited after a controller failed or lost touch with the others.
-	pause = 50 * time.Millisecond
-	// shun is how long such a controller is not asked again while there are others: about as long as a lost link
+	// retryPause is waited after a controller failed or lost touch with the others.
+	retryPause = 50 * time.Millisecond
+	// avoidTime is how long such a controller is not asked again while there are others: about as long as a lost link
 	// takes to show.
-	shun = 2 * time.Second
+	avoidTime = 2 * time.Second
 )
 
 // Watcher is the service. Set the exported fields before Start.
 type Watcher struct {
-	Node   *wire.Node
-	Seeds  []netip.AddrPort
-	Dialer *dialer.Dialer
-	Logger log.Logger
-	// Losses takes what other instances report of requests that were in flight when a target died.
-	Losses func(reports []*wire.Loss)
-	// Hosts takes where objects were last kept warm.
-	Hosts func(hosts []*wire.Host)
-	// Loads takes how busy targets are, as all instances of the region saw it.
-	Loads func(loads []aggregator.Reading)
-	// Changed is called with every new view, by the goroutine that owns the control state.
-	Changed func(v *View)
+	Instance *wire.Node
+	Seeds    []netip.AddrPort
+	Dialer   *dialer.Dialer
+	Logger   log.Logger
+	// OnLosses takes what other instances report of requests that were in flight when a target died.
+	OnLosses func(losses []*wire.Loss)
+	// OnHosts takes where objects were last kept warm.
+	OnHosts func(hosts []*wire.Host)
+	// OnLoads takes how busy targets are, as all instances of the region saw it.
+	OnLoads func(loads []aggregator.Reading)
+	// OnView is called with every new view, by the goroutine that owns the control state.
+	OnView func(v *View)
 
-	view   atomic.Pointer[View]
-	mu     sync.Mutex
-	teller teller
-	// seen is what targets reported here since the last call.
-	seen aggregator.Collector
+	view     atomic.Pointer[View]
+	mu       sync.Mutex
+	reporter reporter
+	// readings is what targets reported here since the last call.
+	readings aggregator.Collector
 
 	state  state
 	client *http.Client
@@ -66,12 +66,12 @@
 
 // state is owned by the one goroutine that watches.
 type state struct {
-	at          netip.AddrPort
+	controller  netip.AddrPort
 	controllers []netip.AddrPort
 	// near are the controllers of this region that the others reach.
 	near []netip.AddrPort
-	// asked is set after the first call.
-	asked     bool
+	// polled is set after the first call.
+	polled    bool
 	run       uint64
 	counter   uint64
 	hosted    uint64
@@ -80,11 +80,11 @@
 	plan      *planner.Table
 	evacuated []string
 	targets   registrar.Registrar
-	cold      map[string]time.Time
-	nodes     map[string]*wire.Node
+	coldUntil map[string]time.Time
+	instances map[string]*wire.Node
 	failing   bool
-	// shunned holds until when a controller that failed is left alone.
-	shunned map[netip.AddrPort]time.Time
+	// avoidUntil holds until when a controller that failed is left alone.
+	avoidUntil map[netip.AddrPort]time.Time
 }
 
 // Name implements kernel.Service.
@@ -97,14 +97,14 @@
 		return err
 	}
 	w.client = client
-	w.Node.Incarnation = rand.Uint64()
-	w.state.cold = map[string]time.Time{}
-	w.state.nodes = map[string]*wire.Node{}
-	w.state.shunned = map[netip.AddrPort]time.Time{}
+	w.Instance.Incarnation = rand.Uint64()
+	w.state.coldUntil = map[string]time.Time{}
+	w.state.instances = map[string]*wire.Node{}
+	w.state.avoidUntil = map[netip.AddrPort]time.Time{}
 	w.state.controllers = slices.Clone(w.Seeds)
 	w.done = make(chan struct{})
 	w.ctx, w.cancel = context.WithCancel(context.Background())
-	w.teller.start(w)
+	w.reporter.start(w)
 	go w.run()
 	return nil
 }
@@ -114,7 +114,7 @@
 	if w.cancel != nil {
 		w.cancel()
 		<-w.done
-		<-w.teller.done
+		<-w.reporter.done
 		w.client.CloseIdleConnections()
 	}
 	return nil
@@ -123,7 +123,7 @@
 // Health implements kernel.Service.
 func (w *Watcher) Health() error {
 	if w.View() == nil {
-		return &BlindError{}
+		return &NoPlanError{}
 	}
 	return nil
 }
@@ -133,15 +133,15 @@
 
 // Controller returns the controller that is watched, false before the first.
 func (w *Watcher) Controller() (netip.AddrPort, bool) {
-	at := w.teller.at.Load()
-	if at == nil {
+	controller := w.reporter.controller.Load()
+	if controller == nil {
 		return netip.AddrPort{}, false
 	}
-	return *at, true
+	return *controller, true
 }
 
-// Reseed replaces the controllers to turn to when none of the known ones answers.
-func (w *Watcher) Reseed(seeds []netip.AddrPort) {
+// SetSeeds replaces the controllers to turn to when none of the known ones answers.
+func (w *Watcher) SetSeeds(seeds []netip.AddrPort) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.Seeds = slices.Clone(seeds)
@@ -156,48 +156,48 @@
 func (w *Watcher) run() {
 	defer close(w.done)
 	for w.ctx.Err() == nil {
-		if w.ask() {
+		if w.poll() {
 			continue
 		}
 		select {
 		case <-w.ctx.Done():
-		case <-time.After(pause):
+		case <-time.After(retryPause):
 		}
 	}
 }
 
-// ask makes one call and reports whether to go on at once.
-func (w *Watcher) ask() bool {
+// poll makes one call and reports whether to go on at once.
+func (w *Watcher) poll() bool {
 	s := &w.state
-	if !s.at.IsValid() {
-		s.at = s.controllers[rand.IntN(len(s.controllers))]
+	if !s.controller.IsValid() {
+		s.controller = s.controllers[rand.IntN(len(s.controllers))]
 	}
-	at := s.at // a copy, for the teller reads it while this goroutine turns to another controller
-	w.teller.at.Store(&at)
+	controller := s.controller // a copy, for the teller reads it while this goroutine turns to another controller
+	w.reporter.controller.Store(&controller)
 	ctx, cancel := context.WithTimeout(w.ctx, callTimeout)
 	defer cancel()
-	client := wireconnect.NewExchangeClient(w.client, w.Dialer.URL(s.at))
+	client := wireconnect.NewExchangeClient(w.client, w.Dialer.URL(s.controller))
 	response, err := client.Watch(ctx, connect.NewRequest(w.request()))
 	if err != nil {
-		return w.failed(err)
+		return w.handleError(err)
 	}
-	s.asked = true
+	s.polled = true
 	if s.failing {
 		s.failing = false
-		_ = level.Info(w.Logger).Log("msg", "controller answers", "controller", s.at)
+		_ = level.Info(w.Logger).Log("msg", "controller answers", "controller", s.controller)
 	}
 	if response.Msg.GetRun() == 0 {
-		w.takeControllers(response.Msg)
-		w.approach()
+		w.applyControllers(response.Msg)
+		w.preferNear()
 		return true
 	}
-	w.take(time.Now(), response.Msg)
+	w.apply(time.Now(), response.Msg)
 	if response.Msg.GetLinked() {
-		w.approach()
+		w.preferNear()
 		return true
 	}
-	_ = level.Warn(w.Logger).Log("msg", "controller lost touch with the others", "controller", s.at)
-	w.move()
+	_ = level.Warn(w.Logger).Log("msg", "controller lost touch with the others", "controller", s.controller)
+	w.failOver()
 	return false
 }
 
@@ -205,8 +205,8 @@
 	s := &w.state
 	out := &wire.WatchRequest{
 		// Without a plan this instance would refuse every caller that a look-up sends here.
-		Node: w.node(s.plan == nil), Run: s.run, Counter: s.counter, Revision: s.revision, First: !s.asked,
-		Hosted: s.hosted, Loaded: s.loaded, Loads: w.observed(),
+		Node: w.describe(s.plan == nil), Run: s.run, Counter: s.counter, Revision: s.revision, First: !s.polled,
+		Hosted: s.hosted, Loaded: s.loaded, Loads: w.takeReadings(),
 	}
 	if s.plan != nil {
 		out.Version = s.plan.Plan.GetVersion()
@@ -218,70 +218,70 @@
 func (w *Watcher) Observe(r aggregator.Reading) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.seen.Add(r)
+	w.readings.Add(r)
 }
 
-func (w *Watcher) observed() *wire.Loads {
+func (w *Watcher) takeReadings() *wire.Loads {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return aggregator.Encode(w.seen.Take())
+	return aggregator.Encode(w.readings.Take())
 }
 
-// node describes this instance; blind ones are not named to callers.
-func (w *Watcher) node(blind bool) *wire.Node {
+// describe describes this instance; blind ones are not named to callers.
+func (w *Watcher) describe(withoutPlan bool) *wire.Node {
 	return &wire.Node{
-		Name: w.Node.GetName(), Incarnation: w.Node.GetIncarnation(), Caller: w.Node.GetCaller(), Peer: w.Node.GetPeer(),
-		Region: w.Node.GetRegion(), Zone: w.Node.GetZone(), Leaving: blind || w.teller.leaving.Load(),
-		Starting: blind && !w.teller.leaving.Load(),
+		Name: w.Instance.GetName(), Incarnation: w.Instance.GetIncarnation(), Caller: w.Instance.GetCaller(), Peer: w.Instance.GetPeer(),
+		Region: w.Instance.GetRegion(), Zone: w.Instance.GetZone(), Leaving: withoutPlan || w.reporter.leaving.Load(),
+		Starting: withoutPlan && !w.reporter.leaving.Load(),
 	}
 }
 
-// failed turns to another controller.
-func (w *Watcher) failed(err error) bool {
+// handleError turns to another controller.
+func (w *Watcher) handleError(err error) bool {
 	if w.ctx.Err() != nil {
 		return false
 	}
 	if !w.state.failing {
 		w.state.failing = true
-		_ = level.Warn(w.Logger).Log("msg", "controller does not answer", "controller", w.state.at, "err", err)
+		_ = level.Warn(w.Logger).Log("msg", "controller does not answer", "controller", w.state.controller, "err", err)
 	}
-	w.move()
+	w.failOver()
 	return false
 }
 
-// approach turns to a controller of this region, if the present one is elsewhere and one can be reached: every change
+// preferNear turns to a controller of this region, if the present one is elsewhere and one can be reached: every change
 // reaches every entry instance, and links between regions are dear.
-func (w *Watcher) approach() {
+func (w *Watcher) preferNear() {
 	s := &w.state
-	if slices.Contains(s.near, s.at) {
+	if slices.Contains(s.near, s.controller) {
 		return
 	}
-	if near := w.usable(time.Now(), s.near); len(near) > 0 {
-		w.turn(near)
+	if near := w.eligible(time.Now(), s.near); len(near) > 0 {
+		w.switchTo(near)
 	}
 }
 
-// usable leaves out the controllers that failed lately.
-func (w *Watcher) usable(now time.Time, list []netip.AddrPort) []netip.AddrPort {
-	return slices.DeleteFunc(slices.Clone(list), func(a netip.AddrPort) bool { return now.Before(w.state.shunned[a]) })
+// eligible leaves out the controllers that failed lately.
+func (w *Watcher) eligible(now time.Time, list []netip.AddrPort) []netip.AddrPort {
+	return slices.DeleteFunc(slices.Clone(list), func(a netip.AddrPort) bool { return now.Before(w.state.avoidUntil[a]) })
 }
 
-// turn takes one of the controllers. What it knows is counted anew.
-func (w *Watcher) turn(list []netip.AddrPort) {
-	w.state.at = list[rand.IntN(len(list))]
+// switchTo takes one of the controllers. What it knows is counted anew.
+func (w *Watcher) switchTo(list []netip.AddrPort) {
+	w.state.controller = list[rand.IntN(len(list))]
 	w.state.run, w.state.counter, w.state.hosted, w.state.loaded = 0, 0, 0, 0
 }
 
-// move chooses another controller, a near one if there is any, else of those known and the seeds: all known ones may
+// failOver chooses another controller, a near one if there is any, else of those known and the seeds: all known ones may
 // have been replaced while this instance was cut off.
-func (w *Watcher) move() {
+func (w *Watcher) failOver() {
 	s := &w.state
 	now := time.Now()
-	s.shunned[s.at] = now.Add(shun)
+	s.avoidUntil[s.controller] = now.Add(avoidTime)
 	all := append(slices.Clone(s.controllers), w.seeds()...)
-	for _, list := range [][]netip.AddrPort{w.usable(now, s.near), w.usable(now, all), all} {
+	for _, list := range [][]netip.AddrPort{w.eligible(now, s.near), w.eligible(now, all), all} {
 		if len(list) > 0 {
-			w.turn(list)
+			w.switchTo(list)
 			return
 		}
 	}
