--- a/entry/internal/watcher/reporter.go
+++ b/entry/internal/watcher/reporter.go
@@ -15,31 +15,32 @@
 )
 
 const (
-	// reportInterval is the least time between two calls with news, so that a service whose targets die by the dozen does not
-	// keep the controllers from their other work.
+	// reportInterval is the minimum time between two report calls, so that many targets of a service that die at the
+	// same time do not keep the controllers from their other work.
 	reportInterval = 100 * time.Millisecond
-	// reportTimeout is a round trip between regions with one loss.
+	// reportTimeout allows for a round trip between regions with one lost packet.
 	reportTimeout = time.Second
-	// maxLosses bounds what waits to be told; the oldest are dropped.
+	// maxLosses bounds the losses that are pending; the oldest are dropped.
 	maxLosses = 256
-	// maxHosts bounds the hosts that wait to be told.
+	// maxHosts bounds the hosts that are pending; the oldest are dropped.
 	maxHosts = 4096
 )
 
-// reporter passes on what the controllers should know at once: that this instance leaves, and which requests were in
-// flight when a target died. It has calls of its own. Told by ending the call that waits for news, a stream of such
-// reports would keep the news away: each would end a call that had not been answered yet, and an accepted change would
-// not come into force here while targets die.
+// reporter sends to the controllers what must not wait for the next Watch call: that this instance leaves, which
+// requests were in flight when a target died, and where objects are kept warm. It makes calls of its own. If each
+// report ended the pending Watch call instead, a stream of reports would delay updates: each would end a call that had
+// not been answered yet, and an accepted change would not come into force here while targets die.
 type reporter struct {
 	leaving atomic.Bool
-	// controller is the controller that is watched.
+	// controller is the one that Watch calls go to; nil before the first call.
 	controller atomic.Pointer[netip.AddrPort]
 	done       chan struct{}
 
 	mu     sync.Mutex
 	losses []*wire.Loss
 	hosts  []*wire.Host
-	wake   chan struct{}
+	// wake holds a value while a report call is requested.
+	wake chan struct{}
 }
 
 func (t *reporter) start(w *Watcher) {
@@ -48,19 +49,19 @@
 	go w.sendReports()
 }
 
-// Leave tells the controllers that this instance stops, so that callers are no longer sent here.
+// Leave reports to the controllers that this instance stops, so that callers are no longer sent here.
 func (w *Watcher) Leave() {
 	w.reporter.leaving.Store(true)
 	w.reporter.signal()
 }
 
-// Report passes on that a request was in flight when a target died.
+// ReportLoss queues a report that a request was in flight when a target died, or that a suspected request succeeded.
 func (w *Watcher) ReportLoss(l *wire.Loss) {
 	w.reporter.addLosses(l)
 	w.reporter.signal()
 }
 
-// Settle passes on where an object is kept warm from now on.
+// ReportHost queues a report of the target at which an object is kept warm from now on. It sets the host's region.
 func (w *Watcher) ReportHost(h *wire.Host) {
 	h.Region = w.Instance.GetRegion()
 	w.reporter.addHosts(h)
@@ -76,7 +77,7 @@
 	}
 }
 
-// addHosts keeps hosts until they can be told; the newest are kept.
+// addHosts queues hosts for the next report; beyond maxHosts the oldest are dropped.
 func (t *reporter) addHosts(hosts ...*wire.Host) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -86,6 +87,7 @@
 	}
 }
 
+// takePending removes and returns all queued losses and hosts.
 func (t *reporter) takePending() ([]*wire.Loss, []*wire.Host) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -94,6 +96,7 @@
 	return losses, hosts
 }
 
+// signal requests a report call, without blocking.
 func (t *reporter) signal() {
 	select {
 	case t.wake <- struct{}{}:
@@ -101,6 +104,7 @@
 	}
 }
 
+// sendReports makes a call for each signal until the watcher stops, at most one per reportInterval.
 func (w *Watcher) sendReports() {
 	defer close(w.reporter.done)
 	for {
@@ -118,8 +122,8 @@
 	}
 }
 
-// sendReport makes one call. If it fails, the reports wait for the next one; that this instance leaves is part of the next
-// call for news, too.
+// sendReport makes one call. If it fails, losses and hosts are queued again for the next one; that this instance leaves
+// is part of the next Watch call, too.
 func (w *Watcher) sendReport() {
 	controller := w.reporter.controller.Load()
 	if controller == nil {
--- a/entry/internal/watcher/view.go
+++ b/entry/internal/watcher/view.go
@@ -18,19 +18,19 @@
 	"chervilrail.example/entry/internal/locator"
 )
 
-// View is an immutable picture of the control state.
+// View is an immutable snapshot of the control state.
 type View struct {
 	// Table is the routing plan in force.
 	Table *planner.Table
-	// Targets holds what may get requests, by service.
+	// Targets holds the targets that may receive requests, by service.
 	Targets map[string][]placer.Spec
-	// InstanceCount is how many entry instances share the targets.
+	// InstanceCount is how many entry instances share the targets, at least 1.
 	InstanceCount int
-	// Peers are those of them in this region, itself among them.
+	// Peers are the entry instances of this region that can be called and are not leaving, including this one.
 	Peers []locator.Peer
 }
 
-// apply puts an answer in force.
+// apply puts a controller's response into force and publishes a new view if anything relevant changed.
 func (w *Watcher) apply(now time.Time, r *wire.WatchResponse) {
 	s := &w.state
 	s.run, s.counter, s.hosted, s.loaded = r.GetRun(), r.GetCounter(), r.GetHosted(), r.GetLoaded()
@@ -53,7 +53,8 @@
 	}
 }
 
-// expireCold forgets the cold times that are over; the slots of such targets are dealt again.
+// expireCold drops the cold periods that have ended and reports whether there were any; the slots of such targets are
+// then assigned again.
 func (w *Watcher) expireCold(now time.Time) bool {
 	expired := false
 	for name, end := range w.state.coldUntil {
@@ -77,7 +78,7 @@
 	for _, text := range texts {
 		a, err := netip.ParseAddrPort(text)
 		if err != nil {
-			_ = level.Warn(w.Logger).Log("msg", "controller's address not understood", "address", text, "err", err)
+			_ = level.Warn(w.Logger).Log("msg", "invalid controller address", "address", text, "err", err)
 			continue
 		}
 		out = append(out, a)
@@ -85,7 +86,7 @@
 	return out
 }
 
-// applyInstances follows the entry instances that share the targets.
+// applyInstances updates the entry instances that share the targets, and reports whether the response had any.
 func (w *Watcher) applyInstances(r *wire.WatchResponse) bool {
 	if r.GetWhole() {
 		w.state.instances = map[string]*wire.Node{}
@@ -100,9 +101,9 @@
 	return r.GetWhole() || len(r.GetSeen()) > 0
 }
 
-// applyRouting takes the plan and evacuations if they are newer. A controller that lags, or that came back with an
-// old disk, must not make an accepted change revert here; and an instance that knows no plan yet takes none from a
-// controller that lost touch with the others.
+// applyRouting accepts the plan and evacuations if their revision is newer. A controller that lags, or that was
+// restored from an old disk, must not make an accepted change revert here; and an instance without a plan accepts none
+// from a controller that can't reach most of the voters, because that plan may be outdated.
 func (w *Watcher) applyRouting(now time.Time, r *wire.WatchResponse) bool {
 	s := &w.state
 	if r.GetRevision() <= s.revision || s.plan == nil && !r.GetLinked() {
@@ -122,8 +123,8 @@
 	return true
 }
 
-// markReturnedCold treats the targets of a zone that takes requests again as cold: their caches had no traffic, and the
-// first rush would crash them.
+// markReturnedCold marks the targets of a zone as cold when its evacuation ends: their caches had no traffic, and the
+// full load at once would crash them.
 func (w *Watcher) markReturnedCold(now time.Time, evacuated []string) {
 	for _, record := range w.state.targets.All() {
 		zone := record.GetZone()
@@ -136,11 +137,12 @@
 	}
 }
 
-// maxLoggedTargets is how many targets of one answer get a log line each. A whole picture would else be a line for each target
-// at each entry instance; the controllers log every target that announces itself or leaves.
+// maxLoggedTargets is up to how many targets of one response are logged one by one. A full response would otherwise
+// cause a line for each target at each entry instance; the controllers log every target that announces itself or
+// leaves.
 const maxLoggedTargets = 8
 
-// applyRecords follows the targets, and reports whether any of them changed.
+// applyRecords merges the announcements of targets, and reports whether any of them was newer.
 func (w *Watcher) applyRecords(now time.Time, records []*wire.Record) bool {
 	merged, ready := 0, 0
 	for _, r := range records {
@@ -164,6 +166,7 @@
 	return merged > 0
 }
 
+// applyRecord merges one announcement, and reports whether it was newer. A cold period is only ever extended.
 func (w *Watcher) applyRecord(now time.Time, r *wire.Record) bool {
 	if !w.state.targets.Merge(now, r) {
 		return false
@@ -174,7 +177,8 @@
 	return true
 }
 
-// publish builds a view from the state.
+// publish builds a view from the state and calls OnView. Targets that are not ready, whose announcements have stopped
+// or whose zone is evacuated are left out.
 func (w *Watcher) publish(now time.Time) {
 	s := &w.state
 	v := &View{Table: s.plan, Targets: map[string][]placer.Spec{}, InstanceCount: max(1, len(s.instances))}
@@ -203,7 +207,8 @@
 	w.OnView(v)
 }
 
-// peers lists the entry instances of this region that stay and can be asked, this one among them.
+// peers lists the entry instances of this region, including this one, that are not leaving and have a valid peer
+// address, sorted by name.
 func (w *Watcher) peers() []locator.Peer {
 	instances := maps.Clone(w.state.instances)
 	instances[w.Instance.GetName()] = w.describe(false)
@@ -214,7 +219,7 @@
 		}
 		address, err := netip.ParseAddrPort(n.GetPeer())
 		if err != nil {
-			_ = level.Debug(w.Logger).Log("msg", "entry instance can't be asked", "peer", n.GetName(), "err", err)
+			_ = level.Debug(w.Logger).Log("msg", "entry instance has no valid peer address", "peer", n.GetName(), "err", err)
 			continue
 		}
 		out = append(out, locator.Peer{Name: n.GetName(), Address: address})
@@ -223,13 +228,15 @@
 	return out
 }
 
-// coldOvershoot is how far above its rate a cold target may be pushed in a second, and coldAllowance what comes on top. Two
-// entry instances may both take a cold target for theirs while they learn of each other, so each keeps to half.
+// A cold target may receive up to coldOvershoot times its rate plus coldAllowance requests in a second. Two entry
+// instances may both consider a cold target their own until they have learnt of each other, so each uses at most half.
 const (
 	coldOvershoot = 1.5
 	coldAllowance = 5
 )
 
+// coldRate returns how many requests per second this instance may send to a cold target of the service; 1 if the
+// service sets no rate.
 func coldRate(s *wire.Service) float64 {
 	if s.GetRate() == 0 {
 		return 1
@@ -237,7 +244,7 @@
 	return min(s.GetRate(), (s.GetRate()*coldOvershoot+coldAllowance)/2)
 }
 
-// members lists the entry instances that share the targets.
+// members lists the entry instances that share the targets: this one and all others that are not leaving.
 func (w *Watcher) members() *partitioner.Members {
 	out := []partitioner.Instance{{Name: w.Instance.GetName(), Region: w.Instance.GetRegion()}}
 	for _, n := range w.state.instances {
@@ -248,7 +255,8 @@
 	return partitioner.NewMembers(out)
 }
 
-// assignSlots gives each slot to one entry instance, and each cold target whole to one.
+// assignSlots sets how many slots of each target belong to this instance. Each slot is given to one entry instance, but
+// all slots of a cold target to the same one.
 func (w *Watcher) assignSlots(now time.Time, specs []placer.Spec, members *partitioner.Members) {
 	slots := make([]partitioner.Target, 0, len(specs))
 	for _, s := range specs {
@@ -267,7 +275,7 @@
 	}
 }
 
-// NoPlanError says that this instance has no routing plan yet.
+// NoPlanError reports that this instance has no routing plan yet.
 type NoPlanError struct{}
 
 // Error implements error.
--- a/entry/internal/watcher/watcher.go
+++ b/entry/internal/watcher/watcher.go
@@ -1,5 +1,5 @@
-// Package watcher is the service that follows the control state: it asks one controller after the other for what is
-// new, and publishes an immutable View of it. Traffic goes on with the last one when no controller answers.
+// Package watcher is the service that follows the control state: it long-polls one controller at a time for changes,
+// and publishes an immutable View of the state. Traffic continues with the last View when no controller answers.
 package watcher
 
 import (
@@ -26,27 +26,30 @@
 )
 
 const (
-	// callTimeout is the second that a controller holds a call without news, and a round trip with one loss. A change has
-	// to be in force within 2.5 s, also where a controller has just frozen.
+	// callTimeout covers the second for which a controller holds a call without changes, and a round trip with one lost
+	// packet. A change has to be in force within 2.5 s, also where a controller has just frozen.
 	callTimeout = 1800 * time.Millisecond
-	// retryPause is waited after a controller failed or lost touch with the others.
+	// retryPause is the pause after a controller failed or reported that it can't reach most of the voters.
 	retryPause = 50 * time.Millisecond
-	// avoidTime is how long such a controller is not asked again while there are others: about as long as a lost link
-	// takes to show.
+	// avoidTime is how long such a controller is not called again while there are others: about as long as a lost link
+	// takes to be detected.
 	avoidTime = 2 * time.Second
 )
 
 // Watcher is the service. Set the exported fields before Start.
 type Watcher struct {
+	// Instance describes this entry instance; Start sets its incarnation.
 	Instance *wire.Node
-	Seeds    []netip.AddrPort
-	Dialer   *dialer.Dialer
-	Logger   log.Logger
-	// OnLosses takes what other instances report of requests that were in flight when a target died.
+	// Seeds are the controllers to call first, and when no known one answers.
+	Seeds  []netip.AddrPort
+	Dialer *dialer.Dialer
+	Logger log.Logger
+	// OnLosses receives the reports of other instances on requests that were in flight when a target died, or that
+	// succeeded.
 	OnLosses func(losses []*wire.Loss)
-	// OnHosts takes where objects were last kept warm.
+	// OnHosts receives the targets at which objects were last kept warm.
 	OnHosts func(hosts []*wire.Host)
-	// OnLoads takes how busy targets are, as all instances of the region saw it.
+	// OnLoads receives the loads of targets, as measured by all instances of the region.
 	OnLoads func(loads []aggregator.Reading)
 	// OnView is called with every new view, by the goroutine that owns the control state.
 	OnView func(v *View)
@@ -54,7 +57,7 @@
 	view     atomic.Pointer[View]
 	mu       sync.Mutex
 	reporter reporter
-	// readings is what targets reported here since the last call.
+	// readings holds the loads that targets reported to this instance since the last Watch call.
 	readings aggregator.Collector
 
 	state  state
@@ -64,14 +67,15 @@
 	done   chan struct{}
 }
 
-// state is owned by the one goroutine that watches.
+// state is owned by the goroutine that makes the Watch calls.
 type state struct {
 	controller  netip.AddrPort
 	controllers []netip.AddrPort
-	// near are the controllers of this region that the others reach.
+	// near are the controllers of this region that the present one has lately reached.
 	near []netip.AddrPort
-	// polled is set after the first call.
-	polled    bool
+	// polled is set after the first successful Watch call.
+	polled bool
+	// run, counter, hosted and loaded are the position in the present controller's changes, as of its last response.
 	run       uint64
 	counter   uint64
 	hosted    uint64
@@ -83,14 +87,14 @@
 	coldUntil map[string]time.Time
 	instances map[string]*wire.Node
 	failing   bool
-	// avoidUntil holds until when a controller that failed is left alone.
+	// avoidUntil holds until when a controller that failed is not called while there are others.
 	avoidUntil map[netip.AddrPort]time.Time
 }
 
 // Name implements kernel.Service.
 func (w *Watcher) Name() string { return "watch" }
 
-// Start begins to watch.
+// Start starts the Watch calls and the reports.
 func (w *Watcher) Start(context.Context, kernel.Finder) error {
 	client, err := w.Dialer.Client()
 	if err != nil {
@@ -109,7 +113,7 @@
 	return nil
 }
 
-// Stop ends watching.
+// Stop cancels all calls and waits for the goroutines to end.
 func (w *Watcher) Stop(context.Context) error {
 	if w.cancel != nil {
 		w.cancel()
@@ -120,7 +124,7 @@
 	return nil
 }
 
-// Health implements kernel.Service.
+// Health implements kernel.Service; it returns a NoPlanError before the first view.
 func (w *Watcher) Health() error {
 	if w.View() == nil {
 		return &NoPlanError{}
@@ -131,7 +135,7 @@
 // View returns the newest view, or nil before the first.
 func (w *Watcher) View() *View { return w.view.Load() }
 
-// Controller returns the controller that is watched, false before the first.
+// Controller returns the controller that Watch calls go to, and false before the first call.
 func (w *Watcher) Controller() (netip.AddrPort, bool) {
 	controller := w.reporter.controller.Load()
 	if controller == nil {
@@ -140,7 +144,7 @@
 	return *controller, true
 }
 
-// SetSeeds replaces the controllers to turn to when none of the known ones answers.
+// SetSeeds replaces the controllers to call when none of the known ones answers.
 func (w *Watcher) SetSeeds(seeds []netip.AddrPort) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -166,13 +170,13 @@
 	}
 }
 
-// poll makes one call and reports whether to go on at once.
+// poll makes one Watch call and reports whether the next one may follow without a pause.
 func (w *Watcher) poll() bool {
 	s := &w.state
 	if !s.controller.IsValid() {
 		s.controller = s.controllers[rand.IntN(len(s.controllers))]
 	}
-	controller := s.controller // a copy, for the teller reads it while this goroutine turns to another controller
+	controller := s.controller // a copy: the reporter reads it while this goroutine may switch to another controller
 	w.reporter.controller.Store(&controller)
 	ctx, cancel := context.WithTimeout(w.ctx, callTimeout)
 	defer cancel()
@@ -196,7 +200,7 @@
 		w.preferNear()
 		return true
 	}
-	_ = level.Warn(w.Logger).Log("msg", "controller lost touch with the others", "controller", s.controller)
+	_ = level.Warn(w.Logger).Log("msg", "controller can't reach most voters", "controller", s.controller)
 	w.failOver()
 	return false
 }
@@ -214,7 +218,7 @@
 	return out
 }
 
-// Observe takes a target's report, to be passed on with the next call.
+// Observe records a target's load, to be sent with the next Watch call.
 func (w *Watcher) Observe(r aggregator.Reading) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -227,7 +231,8 @@
 	return aggregator.Encode(w.readings.Take())
 }
 
-// describe describes this instance; blind ones are not named to callers.
+// describe returns this instance's description for the controllers. Without a plan it is reported as leaving, so that
+// it shares no work, and as starting unless it stops.
 func (w *Watcher) describe(withoutPlan bool) *wire.Node {
 	return &wire.Node{
 		Name: w.Instance.GetName(), Incarnation: w.Instance.GetIncarnation(), Caller: w.Instance.GetCaller(), Peer: w.Instance.GetPeer(),
@@ -236,7 +241,7 @@
 	}
 }
 
-// handleError turns to another controller.
+// handleError fails over to another controller, unless the call failed because the watcher stops. It returns false.
 func (w *Watcher) handleError(err error) bool {
 	if w.ctx.Err() != nil {
 		return false
@@ -249,8 +254,8 @@
 	return false
 }
 
-// preferNear turns to a controller of this region, if the present one is elsewhere and one can be reached: every change
-// reaches every entry instance, and links between regions are dear.
+// preferNear switches to a controller of this region, if the present one is elsewhere and one is eligible: every change
+// is sent to every entry instance, and traffic between regions is expensive.
 func (w *Watcher) preferNear() {
 	s := &w.state
 	if slices.Contains(s.near, s.controller) {
@@ -261,19 +266,20 @@
 	}
 }
 
-// eligible leaves out the controllers that failed lately.
+// eligible returns the controllers of the list that have not failed lately.
 func (w *Watcher) eligible(now time.Time, list []netip.AddrPort) []netip.AddrPort {
 	return slices.DeleteFunc(slices.Clone(list), func(a netip.AddrPort) bool { return now.Before(w.state.avoidUntil[a]) })
 }
 
-// switchTo takes one of the controllers. What it knows is counted anew.
+// switchTo selects one of the controllers at random. The counters of the former one do not apply to it and are reset.
 func (w *Watcher) switchTo(list []netip.AddrPort) {
 	w.state.controller = list[rand.IntN(len(list))]
 	w.state.run, w.state.counter, w.state.hosted, w.state.loaded = 0, 0, 0, 0
 }
 
-// failOver chooses another controller, a near one if there is any, else of those known and the seeds: all known ones may
-// have been replaced while this instance was cut off.
+// failOver avoids the present controller for a while and switches to another: one of this region if any is eligible,
+// else one of the known controllers and the seeds, because all known ones may have been replaced while this instance
+// was disconnected. If all of them failed lately, any of them is used.
 func (w *Watcher) failOver() {
 	s := &w.state
 	now := time.Now()
--- a/entry/internal/watcher/watcher_test.go
+++ b/entry/internal/watcher/watcher_test.go
@@ -19,7 +19,7 @@
 	"chervilrail.example/core/wire/wireconnect"
 )
 
-// controller answers each call with what the test set last.
+// controller is a fake controller. It answers each Watch call with the response that the test set last.
 type controller struct {
 	wireconnect.UnimplementedExchangeHandler
 
@@ -27,7 +27,7 @@
 	answer   *wire.WatchResponse
 	requests []*wire.WatchRequest
 	reports  []*wire.TellRequest
-	// delay is how long an answer takes.
+	// delay is how long a Watch call takes.
 	delay time.Duration
 }
 
@@ -40,7 +40,7 @@
 	return connect.NewResponse(&wire.TellResponse{}), nil
 }
 
-// losses counts the reports that were told.
+// losses returns how many losses were reported.
 func (c *controller) losses() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -94,6 +94,7 @@
 	return w
 }
 
+// waitFor waits up to 4 s until the condition is true.
 func waitFor(t *testing.T, condition func() bool) {
 	t.Helper()
 	for range 400 {
@@ -102,7 +103,7 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Fatal("never came true")
+	t.Fatal("condition was not met within 4 s")
 }
 
 func answer(revision, version uint64, linked bool, records ...*wire.Record) *wire.WatchResponse {
@@ -126,8 +127,8 @@
 	return 0
 }
 
-// The controller that this instance turns to lags behind the last one, or came back with an old disk. Followed, a
-// change that was accepted and in force would revert here.
+// Guards against an accepted change that reverts here: the controller that this instance polls lags behind the last
+// one, or was restored from an old disk, and answers with older state.
 func TestOlderStateIsIgnored(t *testing.T) {
 	is := is.New(t)
 	c, address := startController(t, answer(5, 3, true))
@@ -141,8 +142,8 @@
 	waitFor(t, func() bool { return version(w) == 4 })
 }
 
-// An instance starts while its first controller is cut off. That one's plan may be an old one, so none is taken, and
-// callers are told that nothing is known yet.
+// Guards against an outdated first plan: an instance starts while its first controller can't reach the others. It
+// accepts no plan from that controller and has no view.
 func TestFirstPlanNeedsALinkedController(t *testing.T) {
 	is := is.New(t)
 	c, address := startController(t, answer(5, 3, false))
@@ -153,8 +154,8 @@
 	waitFor(t, func() bool { return version(w) == 3 })
 }
 
-// A target has left, and all controllers restart and forget it. Its delayed announcement reaches them now; this
-// instance still knows better.
+// Guards against requests to a target that has left: all controllers restart without its record, and then receive a
+// delayed announcement of it. This instance keeps the newer record.
 func TestTombstonesOutliveTheControllers(t *testing.T) {
 	is := is.New(t)
 	c, address := startController(t, answer(5, 3, true, target(1, wire.TargetState_TARGET_READY)))
@@ -170,7 +171,7 @@
 	is.Equal(len(w.View().Targets["listings"]), 0)
 }
 
-// The controller loses touch with the others. The instance turns to one that has not.
+// A controller can't reach the others. The instance fails over to one that can.
 func TestUnlinkedControllerIsReplaced(t *testing.T) {
 	is := is.New(t)
 	unlinked, first := startController(t, answer(5, 3, false))
@@ -181,7 +182,7 @@
 	is.True(unlinked.requestCount() < 3)
 }
 
-// Controllers fail altogether. Traffic goes on with the last view.
+// All controllers fail. Traffic continues with the last view.
 func TestViewOutlivesTheControllers(t *testing.T) {
 	is := is.New(t)
 	c := &controller{answer: answer(5, 3, true, target(1, wire.TargetState_TARGET_READY))}
@@ -196,8 +197,8 @@
 	is.NoErr(w.Health())
 }
 
-// A zone was empty for a while and takes requests again. Its targets' caches are cold, and a rush would crash them:
-// only one instance sends to each at first, at a bounded rate.
+// A zone takes requests again after an evacuation. The caches of its targets are cold, and full load would crash them:
+// at first only one instance sends to each, at a bounded rate.
 func TestReturnedZoneIsCold(t *testing.T) {
 	is := is.New(t)
 	initial := answer(5, 3, true, target(1, wire.TargetState_TARGET_READY))
@@ -216,7 +217,8 @@
 	is.Equal(spec.OwnSlots, int32(3))
 }
 
-// An instance has just started and knows no plan. Named in look-ups already, it would refuse every caller sent to it.
+// An instance has just started and has no plan. It reports itself as leaving; if look-ups named it, it would refuse
+// every caller that they send to it.
 func TestInstanceWithoutAPlanReportsLeaving(t *testing.T) {
 	is := is.New(t)
 	c, address := startController(t, answer(5, 3, true))
@@ -228,9 +230,9 @@
 	is.True(!c.requests[len(c.requests)-1].GetNode().GetLeaving())
 }
 
-// Targets die by the dozen and every request that was in flight is reported, while the nearest controller that is left
-// is far away. The reports must not keep the plan from coming: callers would be sent by an old one for seconds after a
-// change was accepted.
+// Guards against reports that delay a new plan: many targets die, every request that was in flight is reported, and the
+// nearest remaining controller is far away. Requests would be routed by the old plan for seconds after a change was
+// accepted.
 func TestReportsDoNotDelayUpdates(t *testing.T) {
 	is := is.New(t)
 	c, address := startController(t, answer(5, 3, true))
@@ -250,8 +252,8 @@
 	waitFor(t, func() bool { return c.losses() >= reports })
 }
 
-// The controller that is asked first is in another region. It names one that is nearer and sends nothing else; after
-// that, news comes from the near one, and no longer loads the links between regions.
+// The first controller is in another region. It names one of this region and sends nothing else; from then on the
+// instance polls that one, and no longer loads the links between regions.
 func TestNearControllerIsPreferred(t *testing.T) {
 	is := is.New(t)
 	near, second := startController(t, answer(6, 4, true))
@@ -264,8 +266,8 @@
 	is.True(!near.requests[0].GetFirst())
 }
 
-// One entry instance after the other is told as changed or gone. Each is counted once among those that share the targets,
-// or each would take too much or too little of them.
+// Entry instances are reported as changed or lost, one after the other. Each is counted once among those that share the
+// targets; otherwise instances would take too large or too small a part of them.
 func TestChangedInstancesAreCounted(t *testing.T) {
 	is := is.New(t)
 	all := answer(5, 3, true)
@@ -285,8 +287,8 @@
 	is.True(c.requestCount() > 2)
 }
 
-// Guards against reports of targets that stay with the one instance that got them, and against hosts and loads that are
-// asked for again and again.
+// Guards against loads that are not passed on by the one instance to which a target reported them, and against hosts
+// and loads that are requested again although they were received.
 func TestLoadsAndHostsArePassedOn(t *testing.T) {
 	is := is.New(t)
 	c, address := startController(t, &wire.WatchResponse{
