--- a/entry/internal/announcer/announcer.go
+++ b/entry/internal/announcer/announcer.go
@@ -108,8 +108,8 @@
 		Detail:  err.Error(),
 		Outcome: refuser.NotRun,
 	}
-	var lapsed *directory.LapsedError
-	if errors.As(err, &lapsed) {
+	var unconfirmed *directory.UnconfirmedError
+	if errors.As(err, &unconfirmed) {
 		out.Status = http.StatusServiceUnavailable
 		out.Retry = now.Add(retryPause)
 	}
--- a/entry/internal/announcer/announcer_test.go
+++ b/entry/internal/announcer/announcer_test.go
@@ -43,7 +43,7 @@
 	})
 	t.Run("not confirmed yet", func(t *testing.T) {
 		is := is.New(t)
-		w := put(&fakeRegister{err: &directory.LapsedError{}}, whole)
+		w := put(&fakeRegister{err: &directory.UnconfirmedError{}}, whole)
 		is.Equal(w.Code, http.StatusServiceUnavailable)
 		is.True(w.Header().Get("Retry-After") != "")
 	})
--- a/entry/internal/cli/cli.go
+++ b/entry/internal/cli/cli.go
@@ -122,15 +122,15 @@
 		Logger:     p.logger,
 	}
 	p.directory = &directory.Directory{
-		Instance: settings.Name,
-		Region:   settings.Region,
-		Zone:     settings.Zone,
-		Caller:   settings.Caller,
-		Peer:     settings.Peer,
-		Every:    settings.Renew,
-		Renewer:  p.requester,
-		Spreader: p.broadcaster,
-		Logger:   p.logger,
+		Instance:          settings.Name,
+		Region:            settings.Region,
+		Zone:              settings.Zone,
+		Caller:            settings.Caller,
+		Peer:              settings.Peer,
+		HeartbeatInterval: settings.Renew,
+		Renewer:           p.requester,
+		Spreader:          p.broadcaster,
+		Logger:            p.logger,
 	}
 	p.broadcaster.Register = p.directory
 	p.forwarder = &forwarder.Forwarder{
--- a/entry/internal/directory/directory.go
+++ b/entry/internal/directory/directory.go
@@ -1,5 +1,6 @@
 // Package directory is the service that owns an entry instance's control state: the catalogue, the other
-// instances, the targets, and the shares of limits. One goroutine changes it; traffic reads a View.
+// instances, the targets, and the shares of limits. One goroutine changes it; the goroutines that serve traffic read an
+// immutable View.
 package directory
 
 import (
@@ -21,10 +22,12 @@
 )
 
 const (
-	queueLength  = 4096
-	refreshEvery = 100 * time.Millisecond
-	// lapsedPause is how long a lapsed instance tells callers to stay away.
-	lapsedPause = time.Second
+	// queueLength bounds the events that wait for the goroutine that owns the state.
+	queueLength = 4096
+	// refreshInterval is how often records are expired and the view is rebuilt.
+	refreshInterval = 100 * time.Millisecond
+	// retryPause is after what time a caller may retry that was refused because the catalogue is not confirmed.
+	retryPause = time.Second
 )
 
 // Renewer sends heartbeats to the leading controller.
@@ -32,51 +35,57 @@
 	Renew(ctx context.Context, r *wire.RenewRequest) (*wire.RenewResponse, error)
 }
 
-// Spreader passes new announcements on to other entry instances.
+// Spreader sends new announcements to the other entry instances.
 type Spreader interface {
 	Spread(records []*wire.Record)
 }
 
 // Directory is the control service. Set the exported fields before Start.
 type Directory struct {
+	// Instance is this instance's name.
 	Instance string
 	Region   string
 	Zone     string
-	Caller   netip.AddrPort
-	Peer     netip.AddrPort
-	Every    time.Duration
-	Renewer  Renewer
-	Spreader Spreader
-	Logger   log.Logger
-
-	// Holder keeps the shares of limits; traffic takes from it.
+	// Caller and Peer are the addresses for callers and for other entry instances.
+	Caller netip.AddrPort
+	Peer   netip.AddrPort
+	// HeartbeatInterval is the time between two heartbeats, unless one is requested earlier.
+	HeartbeatInterval time.Duration
+	Renewer           Renewer
+	Spreader          Spreader
+	Logger            log.Logger
+
+	// Holder holds this instance's shares of limits; requests take from it.
 	Holder granter.Holder
 
 	incarnation uint64
 	started     time.Time
-	group       uint64
-	rosterAt    uint64
-	number      uint64
-	catalogue   *cataloguer.Catalogue
-	nodes       []*wire.Node
-	records     registrar.Registrar
-	targets     map[string]*balancer.Target
-	stale       bool
-
-	view    atomic.Pointer[View]
-	leaving atomic.Bool
-	spare   atomic.Int64
-	lapses  atomic.Int64
-
-	events chan event
-	ctx    context.Context
-	cancel context.CancelFunc
-	done   chan struct{}
-	beats  chan struct{}
-	// hurry asks for a heartbeat before its time.
-	hurry chan struct{}
+	// group identifies the group of controllers; zero until one has answered.
+	group           uint64
+	rosterVersion   uint64
+	catalogueNumber uint64
+	catalogue       *cataloguer.Catalogue
+	roster          []*wire.Node
+	records         registrar.Registrar
+	targets         map[string]*balancer.Target
+	// stale is set if the view has to be rebuilt.
+	stale bool
+
+	view          atomic.Pointer[View]
+	leaving       atomic.Bool
+	spare         atomic.Int64
+	renewFailures atomic.Int64
+
+	events         chan event
+	ctx            context.Context
+	cancel         context.CancelFunc
+	done           chan struct{}
+	heartbeatsDone chan struct{}
+	// heartbeatRequests holds a value while an early heartbeat is requested.
+	heartbeatRequests chan struct{}
 }
 
+// event is handled by the goroutine that owns the state.
 type event interface {
 	handle(d *Directory, now time.Time)
 }
@@ -84,58 +93,60 @@
 // Name implements kernel.Service.
 func (d *Directory) Name() string { return "directory" }
 
-// Start begins to send heartbeats; work is refused until a leading controller answered one.
+// Start starts the heartbeats. Work is refused until a leading controller has answered one.
 func (d *Directory) Start(context.Context, kernel.Finder) error {
 	d.incarnation = rand.Uint64()
 	d.started = time.Now()
 	d.targets = map[string]*balancer.Target{}
 	d.events = make(chan event, queueLength)
 	d.done = make(chan struct{})
-	d.beats = make(chan struct{})
-	d.hurry = make(chan struct{}, 1)
+	d.heartbeatsDone = make(chan struct{})
+	d.heartbeatRequests = make(chan struct{}, 1)
 	d.ctx, d.cancel = context.WithCancel(context.Background())
 	go d.run()
-	go d.beat()
+	go d.sendHeartbeats()
 	return nil
 }
 
-// Stop ends the goroutines.
+// Stop stops the goroutines and waits for them.
 func (d *Directory) Stop(context.Context) error {
 	if d.cancel == nil {
 		return nil
 	}
 	d.cancel()
 	<-d.done
-	<-d.beats
+	<-d.heartbeatsDone
 	return nil
 }
 
-// Health implements kernel.Service.
+// Health implements kernel.Service. It returns an UnconfirmedError while the catalogue is not confirmed.
 func (d *Directory) Health() error {
 	if d.View() == nil || !d.Confirmed(time.Now()) {
-		return &LapsedError{Since: d.Holder.Deadline()}
+		return &UnconfirmedError{Since: d.Holder.Deadline()}
 	}
 	return nil
 }
 
-// View returns the newest picture, or nil before the first.
+// View returns the newest view, or nil before the first.
 func (d *Directory) View() *View { return d.view.Load() }
 
-// Confirmed reports whether this instance may act: a leading controller confirmed its catalogue lately.
+// Confirmed reports whether this instance may serve requests: a leading controller has confirmed its catalogue, and
+// that lease has not expired.
 func (d *Directory) Confirmed(now time.Time) bool { return now.Before(d.Holder.Deadline()) }
 
-// RetryAt is when a caller refused for want of a confirmed catalogue should come back.
-func (d *Directory) RetryAt(now time.Time) time.Time { return now.Add(lapsedPause) }
+// RetryAt returns when a caller should retry that was refused because the catalogue is not confirmed.
+func (d *Directory) RetryAt(now time.Time) time.Time { return now.Add(retryPause) }
 
-// Leave marks the instance as leaving: others stop naming it to callers.
+// Leave marks the instance as leaving, from the next heartbeat on: others stop naming it to callers.
 func (d *Directory) Leave() { d.leaving.Store(true) }
 
-// SetSpare tells how many more requests this instance could take.
+// SetSpare sets how many more requests this instance could take; it is sent with each heartbeat.
 func (d *Directory) SetSpare(n int64) { d.spare.Store(n) }
 
+// run handles events and republishes the view until the directory is stopped.
 func (d *Directory) run() {
 	defer close(d.done)
-	ticker := time.NewTicker(refreshEvery)
+	ticker := time.NewTicker(refreshInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -143,7 +154,7 @@
 			return
 		case e := <-d.events:
 			e.handle(d, time.Now())
-			d.drain()
+			d.handleQueued()
 		case <-ticker.C:
 			d.records.Expire(time.Now())
 			d.stale = true
@@ -154,7 +165,8 @@
 	}
 }
 
-func (d *Directory) drain() {
+// handleQueued handles the events that are queued, so that the view is rebuilt once for all of them.
+func (d *Directory) handleQueued() {
 	for range queueLength {
 		select {
 		case e := <-d.events:
@@ -165,15 +177,15 @@
 	}
 }
 
-// publish builds a new view from the control state.
+// publish builds a new view from the control state. The table of sites is kept while the catalogue is the same.
 func (d *Directory) publish(now time.Time) {
 	d.stale = false
 	v := &View{
-		CatalogueNumber: d.number,
+		CatalogueNumber: d.catalogueNumber,
 		Catalogue:       d.catalogue,
 		Pools:           map[string]*balancer.Pool{},
-		Roster:          d.nodes,
-		Stopping:        d.leaving.Load(),
+		Roster:          d.roster,
+		Leaving:         d.leaving.Load(),
 	}
 	for _, s := range d.catalogue.Services {
 		v.Pools[s.Name] = d.buildPool(now, d.catalogue, s.Name)
@@ -187,9 +199,11 @@
 	d.view.Store(v)
 }
 
+// buildInstances lists the entry instances that may be named to callers: those that are neither leaving, lost nor
+// drained.
 func (d *Directory) buildInstances() *chooser.List {
 	var out []chooser.Instance
-	for _, n := range d.nodes {
+	for _, n := range d.roster {
 		address, err := netip.ParseAddrPort(n.GetCaller())
 		if err != nil || n.GetLeaving() || n.GetLost() {
 			continue
@@ -212,5 +226,6 @@
 	return chooser.New(out, regions, distance)
 }
 
-// hurryParts is how much sooner than its time a heartbeat may come: a quarter of the usual wait stays.
-const hurryParts = 4
+// minWaitDivisor defines the minimum time between two heartbeats, also if one is requested or has failed: a quarter of
+// the interval.
+const minWaitDivisor = 4
--- a/entry/internal/directory/directory_test.go
+++ b/entry/internal/directory/directory_test.go
@@ -23,26 +23,26 @@
 regions = almaty
 `
 
-// script is a leading controller that answers with whatever the test sets.
-type script struct {
+// fakeController is a leading controller that answers as the test sets it.
+type fakeController struct {
 	mu     sync.Mutex
 	number uint64
 	group  uint64
 	down   bool
-	asked  int
+	calls  int
 }
 
-func (s *script) set(change func(s *script)) {
+func (s *fakeController) set(change func(s *fakeController)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change(s)
-	s.asked = 0
+	s.calls = 0
 }
 
-func (s *script) Renew(_ context.Context, r *wire.RenewRequest) (*wire.RenewResponse, error) {
+func (s *fakeController) Renew(_ context.Context, r *wire.RenewRequest) (*wire.RenewResponse, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.asked++
+	s.calls++
 	if s.down {
 		return nil, errors.New("down")
 	}
@@ -52,12 +52,12 @@
 	}, nil
 }
 
-func (s *script) Spread([]*wire.Record) {}
+func (s *fakeController) Spread([]*wire.Record) {}
 
-func begin(t *testing.T, s *script) *Directory {
+func startDirectory(t *testing.T, s *fakeController) *Directory {
 	t.Helper()
 	d := &Directory{
-		Instance: "e1", Region: "almaty", Zone: "almaty-a", Every: 20 * time.Millisecond,
+		Instance: "e1", Region: "almaty", Zone: "almaty-a", HeartbeatInterval: 20 * time.Millisecond,
 		Renewer: s, Spreader: s, Logger: log.NewNopLogger(),
 	}
 	is.New(t).NoErr(d.Start(context.Background(), nil))
@@ -65,8 +65,8 @@
 	return d
 }
 
-// until waits for a condition that must come true.
-func until(t *testing.T, condition func() bool) {
+// waitFor waits up to 10 s until the condition is true.
+func waitFor(t *testing.T, condition func() bool) {
 	t.Helper()
 	for range 1000 {
 		if condition() {
@@ -74,39 +74,39 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Fatal("never came true")
+	t.Fatal("condition was not met within 10 s")
 }
 
-// A controller comes back with an old disk, or one of another group answers. Followed, an accepted change
-// would revert here; so the instance keeps its catalogue, and stops acting when nobody confirms it.
-func TestOlderCatalogueIsNotTaken(t *testing.T) {
-	cases := map[string]func(s *script){
-		"older number":  func(s *script) { s.number = 3 },
-		"another group": func(s *script) { s.group, s.number = 8, 9 },
-		"no answer":     func(s *script) { s.down = true },
+// Guards against an accepted change that reverts here: a controller is restored from an old disk, or one of another
+// group answers. The instance keeps its catalogue, and stops serving when no controller confirms it.
+func TestOlderCatalogueIsRejected(t *testing.T) {
+	cases := map[string]func(s *fakeController){
+		"older number":  func(s *fakeController) { s.number = 3 },
+		"another group": func(s *fakeController) { s.group, s.number = 8, 9 },
+		"no answer":     func(s *fakeController) { s.down = true },
 	}
 	for name, change := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			s := &script{number: 5, group: 7}
-			d := begin(t, s)
-			until(t, func() bool { return d.View() != nil && d.Confirmed(time.Now()) })
+			s := &fakeController{number: 5, group: 7}
+			d := startDirectory(t, s)
+			waitFor(t, func() bool { return d.View() != nil && d.Confirmed(time.Now()) })
 			is.NoErr(d.Health())
 			s.set(change)
-			until(t, func() bool { return !d.Confirmed(time.Now()) })
+			waitFor(t, func() bool { return !d.Confirmed(time.Now()) })
 			is.Equal(d.View().CatalogueNumber, uint64(5))
-			var lapsed *LapsedError
-			is.True(errors.As(d.Health(), &lapsed))
-			s.set(func(s *script) { s.number, s.group, s.down = 6, 7, false })
-			until(t, func() bool { return d.Confirmed(time.Now()) && d.View().CatalogueNumber == 6 })
+			var unconfirmed *UnconfirmedError
+			is.True(errors.As(d.Health(), &unconfirmed))
+			s.set(func(s *fakeController) { s.number, s.group, s.down = 6, 7, false })
+			waitFor(t, func() bool { return d.Confirmed(time.Now()) && d.View().CatalogueNumber == 6 })
 		})
 	}
 }
 
-func TestNothingIsTakenBeforeTheFirstCatalogue(t *testing.T) {
+func TestAnnouncementIsRefusedBeforeTheFirstCatalogue(t *testing.T) {
 	is := is.New(t)
-	d := begin(t, &script{down: true})
-	var lapsed *LapsedError
-	is.True(errors.As(d.Announce(context.Background(), &wire.Record{Name: "u1"}), &lapsed))
+	d := startDirectory(t, &fakeController{down: true})
+	var unconfirmed *UnconfirmedError
+	is.True(errors.As(d.Announce(context.Background(), &wire.Record{Name: "u1"}), &unconfirmed))
 	is.True(!d.Confirmed(time.Now()))
 }
--- a/entry/internal/directory/errors.go
+++ b/entry/internal/directory/errors.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// LapsedError says that no leading controller confirmed this instance's catalogue in time.
-type LapsedError struct {
-	// Since is when the last confirmation ended; zero if there was none.
+// UnconfirmedError reports that no leading controller has confirmed this instance's catalogue in time.
+type UnconfirmedError struct {
+	// Since is when the last confirmation expired; zero if there was none.
 	Since time.Time
 }
 
 // Error implements error.
-func (e *LapsedError) Error() string {
+func (e *UnconfirmedError) Error() string {
 	if e.Since.IsZero() {
 		return "no controller has confirmed a catalogue yet"
 	}
--- a/entry/internal/directory/heartbeat.go
+++ b/entry/internal/directory/heartbeat.go
@@ -10,21 +10,22 @@
 	"chervilrail.example/core/wire"
 )
 
-// RequestHeartbeat asks for an early heartbeat, because a share was used up or something changed.
+// RequestHeartbeat requests a heartbeat before the next one is due, because a share is used up or the state has
+// changed. It does not block.
 func (d *Directory) RequestHeartbeat() {
 	select {
-	case d.hurry <- struct{}{}:
+	case d.heartbeatRequests <- struct{}{}:
 	default:
 	}
 }
 
-// beat sends heartbeats, and asks soon again after a failure: a lease must not lapse because one
-// controller froze.
-func (d *Directory) beat() {
-	defer close(d.beats)
+// sendHeartbeats sends heartbeats, and retries early after a failure: a lease must not expire because one controller
+// has frozen.
+func (d *Directory) sendHeartbeats() {
+	defer close(d.heartbeatsDone)
 	for {
 		ok := d.renew()
-		if !d.pause(d.Every / hurryParts) {
+		if !d.sleep(d.HeartbeatInterval / minWaitDivisor) {
 			return
 		}
 		if !ok {
@@ -33,13 +34,14 @@
 		select {
 		case <-d.ctx.Done():
 			return
-		case <-d.hurry:
-		case <-time.After(d.Every - d.Every/hurryParts):
+		case <-d.heartbeatRequests:
+		case <-time.After(d.HeartbeatInterval - d.HeartbeatInterval/minWaitDivisor):
 		}
 	}
 }
 
-func (d *Directory) pause(wait time.Duration) bool {
+// sleep waits, and reports whether the directory still runs afterwards.
+func (d *Directory) sleep(wait time.Duration) bool {
 	select {
 	case <-d.ctx.Done():
 		return false
@@ -48,6 +50,7 @@
 	}
 }
 
+// renew sends one heartbeat and reports whether its answer is in force.
 func (d *Directory) renew() bool {
 	now := time.Now()
 	sequence, holdings := d.Holder.Request(now)
@@ -56,7 +59,7 @@
 		Sequence: sequence,
 		Holdings: holdings,
 		Group:    atomic.LoadUint64(&d.group),
-		Roster:   atomic.LoadUint64(&d.rosterAt),
+		Roster:   atomic.LoadUint64(&d.rosterVersion),
 		Node: &wire.Node{
 			Name:        d.Instance,
 			Incarnation: d.incarnation,
@@ -73,26 +76,28 @@
 	}
 	response, err := d.Renewer.Renew(d.ctx, request)
 	if err != nil {
-		d.noteFailure(err)
+		d.logFailure(err)
 		return false
 	}
-	return d.adopt(response)
+	return d.apply(response)
 }
 
-func (d *Directory) noteFailure(err error) {
+// logFailure logs every tenth failed heartbeat, starting with the first.
+func (d *Directory) logFailure(err error) {
 	if d.ctx.Err() != nil {
 		return
 	}
-	if d.lapses.Add(1)%10 == 1 {
+	if d.renewFailures.Add(1)%10 == 1 {
 		_ = level.Warn(d.Logger).Log("msg", "renew failed", "err", err, "confirmed", d.Confirmed(time.Now()))
 	}
 }
 
-// adopt waits until the answer is in force, so that the next heartbeat confirms the new catalogue.
-func (d *Directory) adopt(r *wire.RenewResponse) bool {
+// apply hands the answer to the goroutine that owns the state and waits until it is in force, so that the next
+// heartbeat confirms the new catalogue.
+func (d *Directory) apply(r *wire.RenewResponse) bool {
 	done := make(chan bool, 1)
 	select {
-	case d.events <- adoptEvent{r, done}:
+	case d.events <- responseEvent{r, done}:
 	case <-d.ctx.Done():
 		return false
 	}
@@ -104,33 +109,33 @@
 	}
 }
 
-type adoptEvent struct {
+type responseEvent struct {
 	response *wire.RenewResponse
 	done     chan bool
 }
 
-func (e adoptEvent) handle(d *Directory, now time.Time) {
-	e.done <- d.take(now, e.response)
+func (e responseEvent) handle(d *Directory, now time.Time) {
+	e.done <- d.applyResponse(now, e.response)
 }
 
-// take puts a controller's answer in force. The catalogue comes first and the lease after it, so that no
-// request is let through under a lease whose catalogue is not yet used.
-func (d *Directory) take(now time.Time, r *wire.RenewResponse) bool {
+// applyResponse puts a controller's answer into force and reports whether its lease was accepted. The catalogue is
+// applied before the lease, so that no request is admitted under a lease whose catalogue is not yet in use.
+func (d *Directory) applyResponse(now time.Time, r *wire.RenewResponse) bool {
 	if !d.acceptable(r) {
 		return false
 	}
-	if r.GetNumber() > d.number || d.catalogue == nil {
-		if !d.takeCatalogue(r) {
+	if r.GetNumber() > d.catalogueNumber || d.catalogue == nil {
+		if !d.applyCatalogue(r) {
 			return false
 		}
 	}
 	atomic.StoreUint64(&d.group, r.GetGroup())
-	if r.GetRoster() != d.rosterAt {
-		atomic.StoreUint64(&d.rosterAt, r.GetRoster())
-		d.nodes = r.GetNodes()
+	if r.GetRoster() != d.rosterVersion {
+		atomic.StoreUint64(&d.rosterVersion, r.GetRoster())
+		d.roster = r.GetNodes()
 		d.stale = true
 	}
-	d.watchLimits(now)
+	d.updateResources(now)
 	if d.stale {
 		d.publish(now)
 	}
@@ -140,36 +145,37 @@
 	return true
 }
 
-// acceptable refuses an older catalogue whoever sends it: a controller that came back from an old disk
-// would otherwise make an accepted change revert here.
+// acceptable rejects answers of another group of controllers, and an older catalogue from any controller: one that was
+// restored from an old disk would otherwise make an accepted change revert here.
 func (d *Directory) acceptable(r *wire.RenewResponse) bool {
 	if d.group != 0 && r.GetGroup() != d.group {
 		_ = level.Error(d.Logger).Log("msg", "refused controller of another group", "group", r.GetGroup())
 		return false
 	}
-	if r.GetNumber() < d.number {
-		_ = level.Error(d.Logger).Log("msg", "refused older catalogue", "number", r.GetNumber(), "have", d.number)
+	if r.GetNumber() < d.catalogueNumber {
+		_ = level.Error(d.Logger).Log("msg", "refused older catalogue", "number", r.GetNumber(), "have", d.catalogueNumber)
 		return false
 	}
 	return true
 }
 
-func (d *Directory) takeCatalogue(r *wire.RenewResponse) bool {
+func (d *Directory) applyCatalogue(r *wire.RenewResponse) bool {
 	parsed, err := cataloguer.Parse("catalogue", r.GetCatalogue())
 	if err != nil {
 		_ = level.Error(d.Logger).Log("msg", "refused catalogue", "number", r.GetNumber(), "err", err)
 		return false
 	}
 	d.catalogue = parsed
-	d.number = r.GetNumber()
+	d.catalogueNumber = r.GetNumber()
 	d.stale = true
-	// The next heartbeat confirms the change; operators wait for it.
+	// The next heartbeat confirms the change to the controllers; operators wait for that.
 	d.RequestHeartbeat()
-	_ = level.Info(d.Logger).Log("msg", "catalogue in force", "number", d.number)
+	_ = level.Info(d.Logger).Log("msg", "catalogue in force", "number", d.catalogueNumber)
 	return true
 }
 
-func (d *Directory) watchLimits(now time.Time) {
+// updateResources sets for which resources the holder requests shares: those that the catalogue limits.
+func (d *Directory) updateResources(now time.Time) {
 	limits := d.catalogue.Limits()
 	names := make([]string, 0, len(limits))
 	for _, l := range limits {
--- a/entry/internal/directory/targets.go
+++ b/entry/internal/directory/targets.go
@@ -19,7 +19,7 @@
 
 func (e announceEvent) handle(d *Directory, now time.Time) {
 	if d.catalogue == nil {
-		e.reply <- &LapsedError{}
+		e.reply <- &UnconfirmedError{}
 		return
 	}
 	if err := registrar.Check(d.catalogue, e.record); err != nil {
@@ -55,7 +55,7 @@
 	e.reply <- d.records.All()
 }
 
-// merge takes a newer record and brings the target's state in line with it.
+// merge stores a record if it is newer, updates the target's state and reports whether it did.
 func (d *Directory) merge(now time.Time, r *wire.Record) bool {
 	if !d.records.Merge(now, r) {
 		return false
@@ -73,7 +73,7 @@
 			Region:      r.GetRegion(),
 			Zone:        r.GetZone(),
 			Slots:       r.GetSlots(),
-			Since:       d.firstSeen(now),
+			Since:       d.coldSince(now),
 		}
 		d.targets[r.GetName()] = u
 		d.stale = true
@@ -88,20 +88,23 @@
 	return true
 }
 
-// firstSeen treats what is found right after this instance's own start as warm: the targets have been
-// at work meanwhile, and ramping them all again would refuse callers after every restart.
-func (d *Directory) firstSeen(now time.Time) time.Time {
+// coldSince returns since when a newly seen target counts as cold. Within the lease of announcements after this
+// instance's own start targets count as warm (zero time): they have been serving meanwhile, and ramping up all of them
+// again would refuse callers after every restart.
+func (d *Directory) coldSince(now time.Time) time.Time {
 	if now.Sub(d.started) < registrar.Lease {
 		return time.Time{}
 	}
 	return now
 }
 
+// changed reports whether a record is of another run of the target, or of one with other slots, address or place.
 func changed(u *balancer.Target, r *wire.Record) bool {
 	return u.Incarnation != r.GetIncarnation() || u.Slots != r.GetSlots() ||
 		u.Address.String() != r.GetAddress() || u.Region != r.GetRegion() || u.Zone != r.GetZone()
 }
 
+// post queues an event. It returns the error of ctx, or an UnconfirmedError once the directory has stopped.
 func (d *Directory) post(ctx context.Context, e event) error {
 	select {
 	case d.events <- e:
@@ -109,11 +112,12 @@
 	case <-ctx.Done():
 		return ctx.Err()
 	case <-d.done:
-		return &LapsedError{}
+		return &UnconfirmedError{}
 	}
 }
 
-// Announce takes a target's own announcement.
+// Announce stores a target's own announcement and passes it on if it is newer. It returns an AnnouncementError of the
+// registrar if the catalogue does not allow it, and an UnconfirmedError while there is no catalogue or after Stop.
 func (d *Directory) Announce(ctx context.Context, r *wire.Record) error {
 	reply := make(chan error, 1)
 	if err := d.post(ctx, announceEvent{r, reply}); err != nil {
@@ -125,16 +129,17 @@
 	case <-ctx.Done():
 		return ctx.Err()
 	case <-d.done:
-		return &LapsedError{}
+		return &UnconfirmedError{}
 	}
 }
 
-// Merge takes announcements that another entry instance passed on.
+// Merge queues announcements that another entry instance passed on; those that the catalogue does not allow are
+// ignored.
 func (d *Directory) Merge(ctx context.Context, records []*wire.Record) error {
 	return d.post(ctx, mergeEvent{records})
 }
 
-// Records returns all announcements.
+// Records returns all stored announcements.
 func (d *Directory) Records(ctx context.Context) ([]*wire.Record, error) {
 	reply := make(chan []*wire.Record, 1)
 	if err := d.post(ctx, recordsEvent{reply}); err != nil {
@@ -146,6 +151,6 @@
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	case <-d.done:
-		return nil, &LapsedError{}
+		return nil, &UnconfirmedError{}
 	}
 }
--- a/entry/internal/directory/view.go
+++ b/entry/internal/directory/view.go
@@ -12,20 +12,24 @@
 	"chervilrail.example/core/wire"
 )
 
-// View is an immutable picture of the control state, read by the goroutines that carry traffic.
+// View is an immutable snapshot of the control state, read by the goroutines that serve traffic.
 type View struct {
+	// CatalogueNumber is the version of Catalogue, as the controllers number it.
 	CatalogueNumber uint64
 	Catalogue       *cataloguer.Catalogue
 	// Pools holds the targets of each service.
 	Pools map[string]*balancer.Pool
 	// Instances are the entry instances that may be named to callers.
 	Instances *chooser.List
-	Sites     *mapper.Table
-	Roster    []*wire.Node
-	Stopping  bool
+	// Sites maps client addresses to the catalogue's Clients.
+	Sites *mapper.Table
+	// Roster holds all entry instances that the controllers reported.
+	Roster []*wire.Node
+	// Leaving is set once this instance is about to stop.
+	Leaving bool
 }
 
-// RegionOf returns the region nearest to a client by the catalogue's blocks, or "".
+// RegionOf returns the region nearest to the clients of a site by the catalogue, or "" if the site is unknown.
 func (v *View) RegionOf(site mapper.Site) string {
 	if int(site) >= len(v.Catalogue.Clients) {
 		return ""
@@ -33,6 +37,7 @@
 	return v.Catalogue.Clients[site].Region
 }
 
+// buildSites maps each address block of the catalogue to the index of its clients.
 func buildSites(c *cataloguer.Catalogue) *mapper.Table {
 	var blocks []mapper.Block
 	for i, clients := range c.Clients {
@@ -43,7 +48,8 @@
 	return mapper.Build(blocks)
 }
 
-// buildPool groups a service's live targets by distance from this instance, drained ones left out.
+// buildPool groups a service's live targets by distance from this instance: those of its own zone, those of the other
+// zones of its region, then those of each other region. Drained ones are left out.
 func (d *Directory) buildPool(now time.Time, c *cataloguer.Catalogue, service string) *balancer.Pool {
 	groups := map[string][]*balancer.Target{}
 	var members []*balancer.Target
@@ -62,7 +68,7 @@
 		groups[key] = append(groups[key], u)
 		members = append(members, u)
 	}
-	d.dealSlots(members)
+	d.assignSlots(members)
 	p := &balancer.Pool{}
 	p.Tiers = append(p.Tiers, balancer.Tier{Region: d.Region, Targets: groups[ownZone]})
 	p.Tiers = append(p.Tiers, balancer.Tier{Region: d.Region, Targets: groups[d.Region]})
@@ -72,27 +78,28 @@
 	return p
 }
 
-// dealSlots marks how many slots of each target belong to this instance. An instance that is leaving, or
-// not yet on the roster, still counts itself: it may get requests.
-func (d *Directory) dealSlots(members []*balancer.Target) {
-	partners := []partitioner.Instance{{Name: d.Instance, Region: d.Region}}
-	for _, n := range d.nodes {
+// assignSlots sets how many slots of each target belong to this instance. An instance that is leaving, or not yet on
+// the roster, still counts itself, because it may receive requests.
+func (d *Directory) assignSlots(members []*balancer.Target) {
+	instances := []partitioner.Instance{{Name: d.Instance, Region: d.Region}}
+	for _, n := range d.roster {
 		if n.GetName() != d.Instance && !n.GetLost() && !n.GetLeaving() {
-			partners = append(partners, partitioner.Instance{Name: n.GetName(), Region: n.GetRegion()})
+			instances = append(instances, partitioner.Instance{Name: n.GetName(), Region: n.GetRegion()})
 		}
 	}
 	var slots []partitioner.Target
 	for _, u := range members {
 		slots = append(slots, partitioner.Target{Name: u.Name, Region: u.Region, Slots: u.Slots})
 	}
-	for i, n := range partitioner.Partition(d.Instance, partitioner.NewMembers(partners), slots) {
+	for i, n := range partitioner.Partition(d.Instance, partitioner.NewMembers(instances), slots) {
 		members[i].SetOwn(n)
 	}
 }
 
-// ownZone can't be a region's name, which has no blank.
+// ownZone is the key of the targets in this instance's own zone. It can't be a region's name, which has no blank.
 const ownZone = "own zone"
 
+// otherRegions returns the catalogue's regions but this instance's own, sorted by name.
 func (d *Directory) otherRegions(c *cataloguer.Catalogue) []string {
 	var out []string
 	for _, r := range c.Regions {
@@ -104,7 +111,7 @@
 	return out
 }
 
-// distance ranks regions as seen from one: itself, then the others alike.
+// distance ranks regions as seen from one: 0 for itself, 1 for all others.
 func distance(from, to string) int {
 	if from == to {
 		return 0
