--- a/entry/internal/announcer/announcer.go
+++ b/entry/internal/announcer/announcer.go
@@ -1,4 +1,4 @@
-// Package announcer takes the announcements of targets over plain HTTP.
+// Package announcer receives the announcements of targets over plain HTTP.
 package announcer
 
 import (
@@ -16,11 +16,13 @@
 )
 
 const (
-	maxBody    = 16 << 10
+	// maxBody is the largest body of an announcement, in bytes.
+	maxBody = 16 << 10
+	// retryPause is after what time a target may retry while this instance has no confirmed catalogue.
 	retryPause = time.Second
 )
 
-// Register takes checked announcements.
+// Register stores announcements; Announce returns an error if it refuses one.
 type Register interface {
 	Announce(ctx context.Context, r *wire.Record) error
 }
@@ -30,7 +32,7 @@
 	Register Register
 }
 
-// announcement is the JSON form that targets send.
+// announcement is the JSON object that targets send.
 type announcement struct {
 	Name        string `json:"name"`
 	Incarnation uint64 `json:"incarnation"`
@@ -44,7 +46,7 @@
 	State       string `json:"state"`
 }
 
-// acknowledgement tells a target until when its announcement holds and when to announce again.
+// acknowledgement is the JSON object of the answer: until when the announcement is valid, and when to announce again.
 type acknowledgement struct {
 	Deadline time.Time `json:"deadline"`
 	Next     time.Time `json:"next"`
@@ -68,7 +70,8 @@
 	})
 }
 
-// Decode reads one announcement; unknown fields, unknown states and trailing data are refused.
+// Decode reads one announcement. It returns a registrar.AnnouncementError for malformed JSON, unknown fields, unknown
+// states and trailing data.
 func Decode(body io.Reader) (*wire.Record, error) {
 	decoder := json.NewDecoder(body)
 	decoder.DisallowUnknownFields()
@@ -101,6 +104,7 @@
 	}, nil
 }
 
+// refuse answers with status 503 and a time to retry at while there is no confirmed catalogue, else with status 400.
 func refuse(w http.ResponseWriter, now time.Time, err error) {
 	out := refuser.Refusal{
 		Status:  http.StatusBadRequest,
--- a/entry/internal/announcer/announcer_test.go
+++ b/entry/internal/announcer/announcer_test.go
@@ -15,7 +15,7 @@
 	"chervilrail.example/entry/internal/directory"
 )
 
-const whole = `{"name":"u1","incarnation":3,"sequence":4,"service":"listings","address":"127.0.0.1:9000",` +
+const validAnnouncement = `{"name":"u1","incarnation":3,"sequence":4,"service":"listings","address":"127.0.0.1:9000",` +
 	`"region":"almaty","zone":"almaty-a","slots":3,"load":1,"state":"ready"}`
 
 type fakeRegister struct {
@@ -38,22 +38,22 @@
 	t.Run("accepted", func(t *testing.T) {
 		is := is.New(t)
 		f := &fakeRegister{}
-		is.Equal(put(f, whole).Code, http.StatusOK)
+		is.Equal(put(f, validAnnouncement).Code, http.StatusOK)
 		is.Equal(f.got.GetSequence(), uint64(4))
 	})
 	t.Run("not confirmed yet", func(t *testing.T) {
 		is := is.New(t)
-		w := put(&fakeRegister{err: &directory.UnconfirmedError{}}, whole)
+		w := put(&fakeRegister{err: &directory.UnconfirmedError{}}, validAnnouncement)
 		is.Equal(w.Code, http.StatusServiceUnavailable)
 		is.True(w.Header().Get("Retry-After") != "")
 	})
 }
 
-func TestGarbage(t *testing.T) {
+func TestInvalidAnnouncements(t *testing.T) {
 	bodies := map[string]string{
-		"empty": "", "not JSON": "hello", "unknown field": `{"nam":"u1"}`, "two objects": whole + whole,
-		"unknown state": strings.Replace(whole, "ready", "asleep", 1), "negative": strings.Replace(whole, "3", "-3", 1),
-		"number too large": strings.Replace(whole, `"slots":3`, `"slots":99999999999`, 1),
+		"empty": "", "not JSON": "hello", "unknown field": `{"nam":"u1"}`, "two objects": validAnnouncement + validAnnouncement,
+		"unknown state": strings.Replace(validAnnouncement, "ready", "asleep", 1), "negative": strings.Replace(validAnnouncement, "3", "-3", 1),
+		"number too large": strings.Replace(validAnnouncement, `"slots":3`, `"slots":99999999999`, 1),
 		"too long":         `{"name":"` + strings.Repeat("x", maxBody) + `"}`,
 	}
 	for name, body := range bodies {
@@ -65,9 +65,9 @@
 	}
 }
 
-// FuzzDecode wants no panic, and every refusal typed.
+// FuzzDecode checks that Decode never panics and that each of its errors is an AnnouncementError.
 func FuzzDecode(f *testing.F) {
-	f.Add(whole)
+	f.Add(validAnnouncement)
 	f.Add(`{"state":"leaving"}`)
 	f.Add("\x00{[")
 	f.Fuzz(func(t *testing.T, body string) {
--- a/entry/internal/cli/cli.go
+++ b/entry/internal/cli/cli.go
@@ -78,7 +78,7 @@
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	if len(settings.Seeds) > 0 {
-		p := newRouted(c.String("config"), settings)
+		p := newPlanProgram(c.String("config"), settings)
 		defer p.closeLog()
 		return p.run(ctx)
 	}
@@ -89,7 +89,7 @@
 	return p.kernel().Run(ctx)
 }
 
-// program holds the parts of an entry instance while they are put together.
+// program holds the services of an entry instance that works by a catalogue.
 type program struct {
 	settings    *config.Config
 	path        string
@@ -113,11 +113,11 @@
 		Instance: settings.Name,
 	}, p.registry)
 	p.control = &securer.Keys{Files: settings.ControlKeys}
-	calls := &dialer.Dialer{Keys: p.control}
-	p.requester = &requester.Requester{Dialer: calls, Controllers: settings.Controllers}
+	controlDialer := &dialer.Dialer{Keys: p.control}
+	p.requester = &requester.Requester{Dialer: controlDialer, Controllers: settings.Controllers}
 	p.broadcaster = &broadcaster.Broadcaster{
 		Instance:   settings.Name,
-		Dialer:     calls,
+		Dialer:     controlDialer,
 		Quarantine: p.quarantine,
 		Logger:     p.logger,
 	}
@@ -127,7 +127,7 @@
 		Zone:              settings.Zone,
 		Caller:            settings.Caller,
 		Peer:              settings.Peer,
-		HeartbeatInterval: settings.Renew,
+		HeartbeatInterval: settings.RenewInterval,
 		Renewer:           p.requester,
 		Spreader:          p.broadcaster,
 		Logger:            p.logger,
@@ -151,7 +151,7 @@
 
 // kernel lists the services in the order of their start; they stop in reverse.
 func (p *program) kernel() *kernel.Kernel {
-	k := &kernel.Kernel{Logger: p.logger, Patience: p.settings.Patience, Fatal: make(chan error, 1)}
+	k := &kernel.Kernel{Logger: p.logger, Patience: p.settings.StopTimeout, Fatal: make(chan error, 1)}
 	operator := http.NewServeMux()
 	reporter.Mount(operator, p.registry, k)
 	k.Services = []kernel.Service{
@@ -159,29 +159,29 @@
 		p.requester,
 		p.directory,
 		p.broadcaster,
-		p.listen("peer", p.broadcaster.Handler()),
-		p.listen("operator", operator),
+		p.newListener("peer", p.broadcaster.Handler()),
+		p.newListener("operator", operator),
 		p.forwarder,
-		p.listen("target", p.announce()),
-		p.listen("caller", p.callers()),
+		p.newListener("target", p.targetHandler()),
+		p.newListener("caller", p.callerHandler()),
 		&drainer{
-			directory: p.directory,
-			forwarder: p.forwarder,
-			life:      p.settings.Answer,
-			every:     p.settings.Renew,
-			logger:    p.logger,
+			directory:         p.directory,
+			forwarder:         p.forwarder,
+			answerMaxAge:      p.settings.AnswerMaxAge,
+			heartbeatInterval: p.settings.RenewInterval,
+			logger:            p.logger,
 		},
 	}
 	return k
 }
 
-// reload checks the settings; what they say takes effect with the next start.
+// reload checks the settings file; changes take effect at the next start.
 func (p *program) reload() error {
 	_, err := config.Load(p.path)
 	return err
 }
 
-func (p *program) listen(title string, handler http.Handler) *listener.Listener {
+func (p *program) newListener(title string, handler http.Handler) *listener.Listener {
 	l := &listener.Listener{Title: title, Handler: handler, Logger: p.logger}
 	switch title {
 	case "peer":
@@ -196,30 +196,31 @@
 	return l
 }
 
-func (p *program) announce() http.Handler {
+// targetHandler receives the announcements of targets.
+func (p *program) targetHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("PUT /announce", &announcer.Handler{Register: p.directory})
 	return mux
 }
 
-// callers sends look-ups to the finder and everything else target. A request that names its service in
-// the header is never a look-up, so services may have a path of that name.
-func (p *program) callers() http.Handler {
+// callerHandler passes look-ups to the resolver and all other requests to the forwarder. A request that names its
+// service in the header is never a look-up, so services may have a path of that name.
+func (p *program) callerHandler() http.Handler {
 	lookups := prometheus.NewCounterVec(prometheus.CounterOpts{
 		Namespace: "chervilrail_entry", Name: "lookups_total", Help: "Look-ups by result.",
 	}, []string{"result"})
 	p.registry.MustRegister(lookups)
-	find := &resolver.Handler{
+	lookupHandler := &resolver.Handler{
 		Views:  p.directory,
 		Region: p.settings.Region,
-		MaxAge: p.settings.Answer,
+		MaxAge: p.settings.AnswerMaxAge,
 		Logger: p.logger,
 		Count:  func(result string) { lookups.WithLabelValues(result).Inc() },
 	}
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		lookup := r.URL.Path == "/lookup" && r.Method == http.MethodGet && r.Header.Get(refuser.HeaderService) == ""
 		if lookup {
-			find.ServeHTTP(w, r)
+			lookupHandler.ServeHTTP(w, r)
 			return
 		}
 		p.forwarder.ServeHTTP(w, r)
--- a/entry/internal/cli/collector.go
+++ b/entry/internal/cli/collector.go
@@ -24,12 +24,14 @@
 	directory *directory.Directory
 }
 
+// Describe implements prometheus.Collector.
 func (c *collector) Describe(ch chan<- *prometheus.Desc) {
 	for _, d := range []*prometheus.Desc{numberDesc, confirmedDesc, shareDesc, targetsDesc} {
 		ch <- d
 	}
 }
 
+// Collect implements prometheus.Collector.
 func (c *collector) Collect(ch chan<- prometheus.Metric) {
 	now := time.Now()
 	gauge := func(d *prometheus.Desc, v float64, labels ...string) {
--- a/entry/internal/cli/drainer.go
+++ b/entry/internal/cli/drainer.go
@@ -12,29 +12,34 @@
 	"chervilrail.example/entry/internal/forwarder"
 )
 
-// spreadRounds is how many heartbeats it may take until every instance knows that this one leaves.
-const spreadRounds = 3
+// leaveHeartbeats is how many heartbeats it may take until every instance has learnt that this one leaves.
+const leaveHeartbeats = 3
 
-// drainer is stopped first. Callers keep look-up answers, so an instance that refused work as soon as it
-// was told to stop would turn away callers who were sent to it a moment ago.
+// drainer is the service that is stopped first. Callers cache the answers to look-ups, so an instance that refused
+// requests as soon as it has to stop would turn away callers that were directed to it just before.
 type drainer struct {
 	directory *directory.Directory
 	forwarder *forwarder.Forwarder
-	life      time.Duration
-	every     time.Duration
-	logger    log.Logger
+	// answerMaxAge is how long callers keep answers that name this instance.
+	answerMaxAge      time.Duration
+	heartbeatInterval time.Duration
+	logger            log.Logger
 }
 
+// Name implements kernel.Service.
 func (d *drainer) Name() string { return "drainer" }
 
+// Start implements kernel.Service.
 func (d *drainer) Start(context.Context, kernel.Finder) error { return nil }
 
+// Health implements kernel.Service.
 func (d *drainer) Health() error { return nil }
 
-// Stop has the instance no longer named, waits out the answers that name it, and then refuses new work.
+// Stop marks the instance as leaving, so that look-ups no longer name it, waits until the answers that name it have
+// expired, and then refuses new requests.
 func (d *drainer) Stop(ctx context.Context) error {
 	d.directory.Leave()
-	wait := d.life + spreadRounds*d.every
+	wait := d.answerMaxAge + leaveHeartbeats*d.heartbeatInterval
 	_ = level.Info(d.logger).Log("msg", "leaving", "until", time.Now().Add(wait).UTC().Format(time.RFC3339))
 	select {
 	case <-time.After(wait):
--- a/entry/internal/cli/leaver.go
+++ b/entry/internal/cli/leaver.go
@@ -13,16 +13,16 @@
 	"chervilrail.example/entry/internal/watcher"
 )
 
-// leaver is the service that stops first: it lets callers move on before anything is closed. Callers keep answers
-// to look-ups for a while and connections for longer, so a stop that closed at once would cut requests that were
-// just being sent.
+// leaver is the service that is stopped first: it lets callers move to other instances before anything is closed.
+// Callers keep the answers to look-ups for a while and connections for longer, so closing at once would cut off
+// requests that are just being sent.
 type leaver struct {
-	watcher *watcher.Watcher
-	carrier *dispatcher.Dispatcher
-	// serve is how long requests are still taken after the instance is out of the look-ups.
-	serve   time.Duration
-	logger  log.Logger
-	leaving atomic.Bool
+	watcher    *watcher.Watcher
+	dispatcher *dispatcher.Dispatcher
+	// serveTime is how long requests are still served after the instance has reported that it leaves.
+	serveTime time.Duration
+	logger    log.Logger
+	leaving   atomic.Bool
 }
 
 // Name implements kernel.Service.
@@ -31,7 +31,7 @@
 // Start implements kernel.Service.
 func (l *leaver) Start(context.Context, kernel.Finder) error { return nil }
 
-// Health implements kernel.Service.
+// Health implements kernel.Service. It returns a dispatcher.StoppingError once the instance leaves.
 func (l *leaver) Health() error {
 	if l.leaving.Load() {
 		return &dispatcher.StoppingError{}
@@ -39,15 +39,15 @@
 	return nil
 }
 
-// Stop takes the instance out of the look-ups and asks callers, answer by answer, to open their next connection
-// elsewhere.
+// Stop removes the instance from the look-ups and asks callers, with each answer, to open their next connection
+// elsewhere. It returns after serveTime, or when ctx ends.
 func (l *leaver) Stop(ctx context.Context) error {
 	l.leaving.Store(true)
-	l.carrier.CloseConnections()
+	l.dispatcher.CloseConnections()
 	l.watcher.Leave()
-	_ = level.Info(l.logger).Log("msg", "leaving", "serve", l.serve)
+	_ = level.Info(l.logger).Log("msg", "leaving", "serve", l.serveTime)
 	select {
-	case <-time.After(l.serve):
+	case <-time.After(l.serveTime):
 	case <-ctx.Done():
 	}
 	return nil
--- a/entry/internal/cli/routed.go
+++ b/entry/internal/cli/plan.go
@@ -29,30 +29,30 @@
 	"chervilrail.example/platform/translator"
 )
 
-// memoryParts is the share of its memory that the collector lets the process use before it works harder; the rest is
-// for stacks, buffers of the kernel and what is freed late.
-const memoryParts = 0.6
+// memoryShare is the part of the memory limit that is set as the Go runtime's soft limit, above which the garbage
+// collector works harder. The rest is for stacks, kernel buffers and memory that is freed late.
+const memoryShare = 0.6
 
-// confirmedLosses is how many targets have to die under a request before it is kept out. Targets break off answers for
-// other reasons, too, and a popular request is in flight at many of them.
+// confirmedLosses is how many targets have to die while they run a request before it is quarantined. Targets break
+// off answers for other reasons, too, and a popular request is in flight at many of them.
 const confirmedLosses = 3
 
-// routed holds the parts of an entry instance that routes by a plan while they are put together.
-type routed struct {
-	settings *config.Config
-	path     string
-	logger   log.Logger
-	closeLog func()
-	registry *prometheus.Registry
-	watcher  *watcher.Watcher
-	carrier  *dispatcher.Dispatcher
-	locator  *locator.Locator
-	asker    *enforcer.Enforcer
-	leaver   *leaver
+// planProgram holds the services of an entry instance that routes by a plan.
+type planProgram struct {
+	settings   *config.Config
+	path       string
+	logger     log.Logger
+	closeLog   func()
+	registry   *prometheus.Registry
+	watcher    *watcher.Watcher
+	dispatcher *dispatcher.Dispatcher
+	locator    *locator.Locator
+	enforcer   *enforcer.Enforcer
+	leaver     *leaver
 }
 
-func newRouted(path string, settings *config.Config) *routed {
-	p := &routed{path: path, settings: settings, registry: reporter.Registry()}
+func newPlanProgram(path string, settings *config.Config) *planProgram {
+	p := &planProgram{path: path, settings: settings, registry: reporter.Registry()}
 	p.logger, p.closeLog = logger.Open(logger.Options{
 		Format: settings.LogFormat, Level: settings.LogLevel, Program: "entry", Instance: settings.Name,
 	}, p.registry)
@@ -64,36 +64,36 @@
 		Seeds:    settings.Seeds,
 		Dialer:   &dialer.Dialer{Plain: true},
 		Logger:   p.logger,
-		OnLosses: func(reports []*wire.Loss) { takeLosses(quarantine, reports) },
+		OnLosses: func(losses []*wire.Loss) { applyLosses(quarantine, losses) },
 	}
-	p.carrier = &dispatcher.Dispatcher{
+	p.dispatcher = &dispatcher.Dispatcher{
 		Self: settings.Name, Region: settings.Region, Zone: settings.Zone, Codec: translator.Face{}, Views: p.watcher,
 		Sender: &pooler.Pooler{}, Quarantine: quarantine, Logger: p.logger, Metrics: dispatcher.NewMetrics(p.registry),
 	}
 	p.locator = &locator.Locator{
-		Self: settings.Name, Dialer: &dialer.Dialer{Plain: true}, Assigner: p.carrier, Logger: p.logger,
+		Self: settings.Name, Dialer: &dialer.Dialer{Plain: true}, Assigner: p.dispatcher, Logger: p.logger,
 	}
-	p.asker = &enforcer.Enforcer{
+	p.enforcer = &enforcer.Enforcer{
 		Self:        &wire.QuotaHolder{Name: settings.Name, Incarnation: rand.Uint64()},
 		Controllers: p.watcher, Peers: p.locator, Dialer: &dialer.Dialer{Plain: true}, Logger: p.logger,
 	}
-	p.locator.Spender = p.asker
-	p.carrier.Locator, p.carrier.Quotas = p.locator, p.asker
-	p.watcher.OnView, p.watcher.OnHosts, p.watcher.OnLoads = p.follow, p.carrier.UpdateHosts, p.carrier.UpdateLoads
-	p.leaver = &leaver{watcher: p.watcher, carrier: p.carrier, serve: settings.Answer, logger: p.logger}
+	p.locator.Spender = p.enforcer
+	p.dispatcher.Locator, p.dispatcher.Quotas = p.locator, p.enforcer
+	p.watcher.OnView, p.watcher.OnHosts, p.watcher.OnLoads = p.applyView, p.dispatcher.UpdateHosts, p.dispatcher.UpdateLoads
+	p.leaver = &leaver{watcher: p.watcher, dispatcher: p.dispatcher, serveTime: settings.AnswerMaxAge, logger: p.logger}
 	return p
 }
 
-// follow puts a new view in force.
-func (p *routed) follow(v *watcher.View) {
-	p.asker.Update(time.Now(), v)
-	p.carrier.ApplyView(v)
+// applyView puts a new view into force.
+func (p *planProgram) applyView(v *watcher.View) {
+	p.enforcer.Update(time.Now(), v)
+	p.dispatcher.ApplyView(v)
 }
 
-// takeLosses counts what other entry instances saw, as if it had been seen here.
-func takeLosses(q *quarantiner.Quarantiner, reports []*wire.Loss) {
+// applyLosses records losses and successes that other entry instances reported as if they had been observed here.
+func applyLosses(q *quarantiner.Quarantiner, losses []*wire.Loss) {
 	now := time.Now()
-	for _, l := range reports {
+	for _, l := range losses {
 		var f quarantiner.Fingerprint
 		copy(f[:], l.GetFingerprint())
 		if l.GetSuccess() {
@@ -104,9 +104,10 @@
 	}
 }
 
-func (p *routed) run(ctx context.Context) error {
-	if p.settings.Memory > 0 {
-		debug.SetMemoryLimit(int64(float64(p.settings.Memory) * memoryParts))
+// run sets the memory limit and runs all services until ctx ends or one fails.
+func (p *planProgram) run(ctx context.Context) error {
+	if p.settings.MemoryLimit > 0 {
+		debug.SetMemoryLimit(int64(float64(p.settings.MemoryLimit) * memoryShare))
 	}
 	_ = level.Info(p.logger).Log("msg", "starting", "caller", p.settings.Caller, "region", p.settings.Region,
 		"zone", p.settings.Zone)
@@ -116,19 +117,19 @@
 }
 
 // kernel lists the services in the order of their start; they stop in reverse.
-func (p *routed) kernel() *kernel.Kernel {
-	k := &kernel.Kernel{Logger: p.logger, Patience: p.settings.Patience, Fatal: make(chan error, 1)}
+func (p *planProgram) kernel() *kernel.Kernel {
+	k := &kernel.Kernel{Logger: p.logger, Patience: p.settings.StopTimeout, Fatal: make(chan error, 1)}
 	operator := http.NewServeMux()
 	reporter.Mount(operator, p.registry, k)
 	s := p.settings
 	k.Services = []kernel.Service{
 		&reloader.Reloader{Load: p.reload, Logger: p.logger},
-		p.carrier,
+		p.dispatcher,
 		p.locator,
-		p.asker,
+		p.enforcer,
 		p.watcher,
 		&listener.Listener{Title: "operator", Address: s.Operator, Handler: operator, Logger: p.logger},
-		&listener.Listener{Title: "caller", Address: s.Caller, Handler: p.carrier, Logger: p.logger},
+		&listener.Listener{Title: "caller", Address: s.Caller, Handler: p.dispatcher, Logger: p.logger},
 		&listener.Listener{Title: "ready", Address: s.Ready, Handler: translator.Ready{Check: p.ready}, Logger: p.logger},
 		p.leaver,
 	}
@@ -140,8 +141,8 @@
 	return k
 }
 
-// reload checks the settings and takes over the seeds; addresses can't change while connections use them.
-func (p *routed) reload() error {
+// reload checks the settings file and applies its seeds. Addresses can't change while connections use them.
+func (p *planProgram) reload() error {
 	settings, err := config.Load(p.path)
 	if err != nil {
 		return err
@@ -150,8 +151,8 @@
 	return nil
 }
 
-// ready reports whether callers should be sent here.
-func (p *routed) ready() error {
+// ready returns nil if callers should be sent to this instance.
+func (p *planProgram) ready() error {
 	if err := p.leaver.Health(); err != nil {
 		return err
 	}
--- a/entry/internal/config/config.go
+++ b/entry/internal/config/config.go
@@ -1,4 +1,4 @@
-// Package config holds every setting of an entry instance, its default and its check.
+// Package config reads and checks the settings of an entry instance, and holds their defaults.
 package config
 
 import (
@@ -12,11 +12,11 @@
 )
 
 const (
-	defaultRenew    = 200 * time.Millisecond
-	defaultAnswer   = 5 * time.Second
-	defaultPatience = 30 * time.Minute
-	minRenew        = 10 * time.Millisecond
-	maxPort         = 1<<16 - 1
+	defaultRenewInterval = 200 * time.Millisecond
+	defaultAnswerMaxAge  = 5 * time.Second
+	defaultStopTimeout   = 30 * time.Minute
+	minRenewInterval     = 10 * time.Millisecond
+	maxPort              = 1<<16 - 1
 	// minMemory and maxMemory bound the memory setting, in megabytes.
 	minMemory = 32
 	maxMemory = 1 << 20
@@ -28,26 +28,30 @@
 	Region string
 	Zone   string
 
-	// Caller takes look-ups and requests, Target takes announcements, Peer serves the other entry
-	// instances, Operator serves metrics and health.
+	// Caller, Target, Peer and Operator are the addresses to listen at: Caller for look-ups and requests, Target for
+	// announcements of targets, Peer for the other entry instances, Operator for metrics and health.
 	Caller   netip.AddrPort
 	Target   netip.AddrPort
 	Peer     netip.AddrPort
 	Operator netip.AddrPort
 
+	// Controllers are the addresses of the controllers, for an instance that works by a catalogue; others have none.
 	Controllers []netip.AddrPort
 
-	// Seeds are the controllers known at the start of an instance that routes by a plan; it has none otherwise.
+	// Seeds are the controllers that are known at the start of an instance that routes by a plan; others have none.
 	Seeds []netip.AddrPort
-	// Ready answers the platform's question whether this instance is ready.
+	// Ready is the address to listen at for the platform's readiness checks.
 	Ready netip.AddrPort
-	// Memory is what the process may use, in bytes; zero sets no limit.
-	Memory int64
+	// MemoryLimit is how much memory the process may use, in bytes; zero sets no limit.
+	MemoryLimit int64
 
-	Renew  time.Duration
-	Answer time.Duration
-	// Patience bounds a planned stop.
-	Patience time.Duration
+	// RenewInterval is the time between two heartbeats to the leading controller.
+	RenewInterval time.Duration
+	// AnswerMaxAge is how long callers may keep the answer to a look-up. A stopping instance serves requests for at least
+	// that long.
+	AnswerMaxAge time.Duration
+	// StopTimeout bounds how long a planned stop may take.
+	StopTimeout time.Duration
 
 	CallerKeys   securer.Files
 	TargetKeys   securer.Files
@@ -56,11 +60,11 @@
 
 	LogFormat string
 	LogLevel  string
-	// Sample logs one in this many routing decisions.
+	// Sample is n if one in n routing decisions is logged.
 	Sample int64
 }
 
-// Load reads a file and checks it whole.
+// Load reads a settings file and checks it. It returns a parser.FaultsError that lists every fault.
 func Load(path string) (*Config, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -71,21 +75,22 @@
 	return Parse(path, data)
 }
 
-// Parse reads settings from text and checks them whole.
+// Parse reads settings from text and checks them. It returns a parser.FaultsError that lists every fault, with source
+// as the name of the text.
 func Parse(source string, data []byte) (*Config, error) {
 	d := parser.Parse(source, data)
 	c := &Config{
-		Renew:     defaultRenew,
-		Answer:    defaultAnswer,
-		Patience:  defaultPatience,
-		LogFormat: "logfmt",
-		LogLevel:  "info",
-		Sample:    1,
+		RenewInterval: defaultRenewInterval,
+		AnswerMaxAge:  defaultAnswerMaxAge,
+		StopTimeout:   defaultStopTimeout,
+		LogFormat:     "logfmt",
+		LogLevel:      "info",
+		Sample:        1,
 	}
 	sections := map[string]bool{}
 	for _, s := range d.Sections {
 		sections[s.Kind] = true
-		c.section(d, s)
+		c.parseSection(d, s)
 	}
 	for _, kind := range []string{"entry", "listen"} {
 		if !sections[kind] {
@@ -102,7 +107,7 @@
 	return c, nil
 }
 
-func (c *Config) section(d *parser.Document, s *parser.Section) {
+func (c *Config) parseSection(d *parser.Document, s *parser.Section) {
 	switch s.Kind {
 	case "entry":
 		c.Name = d.Name(s, "name")
@@ -115,17 +120,17 @@
 		c.Operator = d.Address(s, "operator", true)
 		c.Ready = d.Address(s, "ready", false)
 	case "seeds":
-		c.seeds(d, s)
+		c.parseSeeds(d, s)
 	case "memory":
-		c.Memory = d.Number(s, "limit", 0, minMemory, maxMemory) << 20
+		c.MemoryLimit = d.Number(s, "limit", 0, minMemory, maxMemory) << 20
 	case "controllers":
-		c.controllers(d, s)
+		c.parseControllers(d, s)
 	case "timing":
-		c.Renew = d.Duration(s, "renew", defaultRenew, minRenew, time.Minute)
-		c.Answer = d.Duration(s, "answer", defaultAnswer, time.Second, time.Hour)
-		c.Patience = d.Duration(s, "patience", defaultPatience, time.Second, 24*time.Hour)
+		c.RenewInterval = d.Duration(s, "renew", defaultRenewInterval, minRenewInterval, time.Minute)
+		c.AnswerMaxAge = d.Duration(s, "answer", defaultAnswerMaxAge, time.Second, time.Hour)
+		c.StopTimeout = d.Duration(s, "patience", defaultStopTimeout, time.Second, 24*time.Hour)
 	case "tls":
-		c.tls(d, s)
+		c.parseTLS(d, s)
 	case "log":
 		c.LogFormat = d.Choice(s, "format", "logfmt", "logfmt", "json")
 		c.LogLevel = d.Choice(s, "level", "info", "debug", "info", "warn", "error")
@@ -135,9 +140,9 @@
 	}
 }
 
-// seeds reads controllers of which only the address for the platform's calls is known; calls of our own go to
-// another port, the same on all instances.
-func (c *Config) seeds(d *parser.Document, s *parser.Section) {
+// parseSeeds reads controllers of which only the address for the platform's calls is known. Entry instances call them
+// at another port, the same on all controllers.
+func (c *Config) parseSeeds(d *parser.Document, s *parser.Section) {
 	port := d.Number(s, "port", 0, 1, maxPort)
 	for _, text := range d.List(s, "addresses") {
 		address, err := netip.ParseAddrPort(text)
@@ -152,7 +157,7 @@
 	}
 }
 
-func (c *Config) controllers(d *parser.Document, s *parser.Section) {
+func (c *Config) parseControllers(d *parser.Document, s *parser.Section) {
 	for _, text := range d.List(s, "addresses") {
 		address, err := netip.ParseAddrPort(text)
 		if err != nil {
@@ -166,7 +171,7 @@
 	}
 }
 
-func (c *Config) tls(d *parser.Document, s *parser.Section) {
+func (c *Config) parseTLS(d *parser.Document, s *parser.Section) {
 	files := securer.Files{
 		Certificate: d.String(s, "certificate", ""),
 		Key:         d.String(s, "key", ""),
@@ -189,7 +194,8 @@
 	}
 }
 
-// checkListeners wants the addresses that each kind of instance needs.
+// checkListeners requires the addresses that each kind of instance needs: target and peer without seeds, ready with
+// seeds.
 func (c *Config) checkListeners(d *parser.Document) {
 	if len(c.Seeds) == 0 && (!c.Target.IsValid() || !c.Peer.IsValid()) {
 		d.Fault(nil, "listen", "addresses for target and peer", "none")
@@ -199,6 +205,7 @@
 	}
 }
 
+// check requires that all listeners have different addresses and that the certificates are readable.
 func (c *Config) check(d *parser.Document) {
 	c.checkListeners(d)
 	seen := map[netip.AddrPort]string{}
--- a/entry/internal/config/config_test.go
+++ b/entry/internal/config/config_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-func example(t *testing.T) string {
+func readExample(t *testing.T) string {
 	t.Helper()
 	data, err := os.ReadFile("../../../examples/settings/entry.ini")
 	is.New(t).NoErr(err)
@@ -16,12 +16,12 @@
 }
 
 func TestExampleIsValid(t *testing.T) {
-	_, err := Parse("example", []byte(example(t)))
+	_, err := Parse("example", []byte(readExample(t)))
 	is.New(t).NoErr(err)
 }
 
-// A setting is mistyped. Were it ignored, the program would run with a default that nobody asked for; so
-// every fault is named at once, before anything starts.
+// Guards against mistyped settings that are ignored, so that the program runs with unintended defaults: every fault is
+// reported at once, before anything starts.
 func TestFaultsAreNamed(t *testing.T) {
 	cases := []struct{ name, old, replacement, want string }{
 		{"unknown key", "zone =", "zoen =", "[entry] zoen: expected a key known here"},
@@ -34,7 +34,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			text := example(t)
+			text := readExample(t)
 			changed := strings.Replace(text, c.old, c.replacement, 1)
 			is.New(t).True(changed != text)
 			_, err := Parse("example", []byte(changed))
@@ -49,7 +49,7 @@
 	})
 }
 
-const routed = `
+const planSettings = `
 [entry]
 name = front-almaty-a-1
 region = almaty
@@ -68,17 +68,17 @@
 limit = 284
 `
 
-// Only the controllers' addresses for other callers are known at the start; calls of our own go to another port.
+// Seeds give the controllers' addresses for the platform's calls; entry instances call them at another port.
 func TestSeeds(t *testing.T) {
 	is := is.New(t)
-	c, err := Parse("routed", []byte(routed))
+	c, err := Parse("routed", []byte(planSettings))
 	is.NoErr(err)
 	is.Equal(c.Seeds[1].String(), "10.2.0.30:7660")
-	is.Equal(c.Memory, int64(284<<20))
+	is.Equal(c.MemoryLimit, int64(284<<20))
 	for old, replacement := range map[string]string{
 		"port = 7660": "port = 0", "ready = 10.1.0.35:8140\n": "", "limit = 284": "limit = 1", "10.2.0.30:8146": "somewhere",
 	} {
-		_, err := Parse("routed", []byte(strings.Replace(routed, old, replacement, 1)))
+		_, err := Parse("routed", []byte(strings.Replace(planSettings, old, replacement, 1)))
 		is.True(err != nil)
 	}
 }
