--- a/entry/internal/directory/targets.go
+++ b/entry/internal/directory/targets.go
@@ -60,13 +60,13 @@
 	if !d.records.Merge(now, r) {
 		return false
 	}
-	u, ok := d.targets[r.GetName()]
-	if !ok || changed(u, r) {
+	target, ok := d.targets[r.GetName()]
+	if !ok || changed(target, r) {
 		address, err := netip.ParseAddrPort(r.GetAddress())
 		if err != nil {
 			return false
 		}
-		u = &balancer.Target{
+		target = &balancer.Target{
 			Name:        r.GetName(),
 			Incarnation: r.GetIncarnation(),
 			Address:     address,
@@ -75,15 +75,15 @@
 			Slots:       r.GetSlots(),
 			Since:       d.coldSince(now),
 		}
-		d.targets[r.GetName()] = u
+		d.targets[r.GetName()] = target
 		d.stale = true
-		_ = level.Info(d.Logger).Log("msg", "target seen", "target", u.Name, "incarnation", u.Incarnation,
-			"service", r.GetService(), "region", u.Region, "zone", u.Zone, "slots", u.Slots)
+		_ = level.Info(d.Logger).Log("msg", "target seen", "target", target.Name, "incarnation", target.Incarnation,
+			"service", r.GetService(), "region", target.Region, "zone", target.Zone, "slots", target.Slots)
 	}
-	u.SetReport(balancer.Report{Load: r.GetLoad(), At: now})
+	target.SetReport(balancer.Report{Load: r.GetLoad(), At: now})
 	if r.GetState() == wire.TargetState_TARGET_LEAVING {
 		d.stale = true
-		_ = level.Info(d.Logger).Log("msg", "target leaving", "target", u.Name, "incarnation", u.Incarnation)
+		_ = level.Info(d.Logger).Log("msg", "target leaving", "target", target.Name, "incarnation", target.Incarnation)
 	}
 	return true
 }
@@ -99,9 +99,9 @@
 }
 
 // changed reports whether a record is of another run of the target, or of one with other slots, address or place.
-func changed(u *balancer.Target, r *wire.Record) bool {
-	return u.Incarnation != r.GetIncarnation() || u.Slots != r.GetSlots() ||
-		u.Address.String() != r.GetAddress() || u.Region != r.GetRegion() || u.Zone != r.GetZone()
+func changed(target *balancer.Target, r *wire.Record) bool {
+	return target.Incarnation != r.GetIncarnation() || target.Slots != r.GetSlots() ||
+		target.Address.String() != r.GetAddress() || target.Region != r.GetRegion() || target.Zone != r.GetZone()
 }
 
 // post queues an event. It returns the error of ctx, or an UnconfirmedError once the directory has stopped.
--- a/entry/internal/directory/view.go
+++ b/entry/internal/directory/view.go
@@ -52,23 +52,23 @@
 // zones of its region, then those of each other region. Drained ones are left out.
 func (d *Directory) buildPool(now time.Time, c *cataloguer.Catalogue, service string) *balancer.Pool {
 	groups := map[string][]*balancer.Target{}
-	var members []*balancer.Target
+	var targets []*balancer.Target
 	for _, r := range d.records.Live(now, service) {
 		if _, drained := c.Drained(r.GetName(), "", r.GetZone(), r.GetRegion()); drained {
 			continue
 		}
-		u, ok := d.targets[r.GetName()]
+		target, ok := d.targets[r.GetName()]
 		if !ok {
 			continue
 		}
-		key := u.Region
-		if u.Region == d.Region && u.Zone == d.Zone {
+		key := target.Region
+		if target.Region == d.Region && target.Zone == d.Zone {
 			key = ownZone
 		}
-		groups[key] = append(groups[key], u)
-		members = append(members, u)
+		groups[key] = append(groups[key], target)
+		targets = append(targets, target)
 	}
-	d.assignSlots(members)
+	d.assignSlots(targets)
 	p := &balancer.Pool{}
 	p.Tiers = append(p.Tiers, balancer.Tier{Region: d.Region, Targets: groups[ownZone]})
 	p.Tiers = append(p.Tiers, balancer.Tier{Region: d.Region, Targets: groups[d.Region]})
@@ -80,7 +80,7 @@
 
 // assignSlots sets how many slots of each target belong to this instance. An instance that is leaving, or not yet on
 // the roster, still counts itself, because it may receive requests.
-func (d *Directory) assignSlots(members []*balancer.Target) {
+func (d *Directory) assignSlots(targets []*balancer.Target) {
 	instances := []partitioner.Instance{{Name: d.Instance, Region: d.Region}}
 	for _, n := range d.roster {
 		if n.GetName() != d.Instance && !n.GetLost() && !n.GetLeaving() {
@@ -88,11 +88,11 @@
 		}
 	}
 	var slots []partitioner.Target
-	for _, u := range members {
+	for _, u := range targets {
 		slots = append(slots, partitioner.Target{Name: u.Name, Region: u.Region, Slots: u.Slots})
 	}
 	for i, n := range partitioner.Partition(d.Instance, partitioner.NewMembers(instances), slots) {
-		members[i].SetOwn(n)
+		targets[i].SetOwn(n)
 	}
 }
 
