--- a/entry/internal/carrier/attempt.go
+++ b/entry/internal/carrier/attempt.go
@@ -129,7 +129,7 @@
 		}
 	case notExecuted, answered:
 	}
-	return j.sends < int(max(1, j.route.GetAttempts())) && g.spendRetry(now, j.view.Entries)
+	return j.sends < int(max(1, j.route.GetAttempts())) && g.spendRetry(now, j.view.InstanceCount)
 }
 
 // attempt sends the request to one target, on which it already holds a slot.
@@ -249,7 +249,7 @@
 // clearSuspicion removes a request that succeeded from the suspects of all entry instances.
 func (c *Carrier) clearSuspicion(now time.Time, j *job) {
 	if c.Quarantine.Succeed(now, j.fingerprint) {
-		c.Views.Report(&wire.Loss{Fingerprint: j.fingerprint[:], Success: true, Incarnation: rand.Uint64()})
+		c.Views.ReportLoss(&wire.Loss{Fingerprint: j.fingerprint[:], Success: true, Incarnation: rand.Uint64()})
 	}
 }
 
@@ -286,7 +286,7 @@
 	}
 	run := quarantiner.Run{Target: t.Name, Incarnation: t.Incarnation}
 	if c.Quarantine.Lose(time.Now(), j.fingerprint, run) {
-		c.Views.Report(&wire.Loss{Fingerprint: j.fingerprint[:], Target: t.Name, Incarnation: t.Incarnation})
+		c.Views.ReportLoss(&wire.Loss{Fingerprint: j.fingerprint[:], Target: t.Name, Incarnation: t.Incarnation})
 	}
 }
 
--- a/entry/internal/carrier/carrier.go
+++ b/entry/internal/carrier/carrier.go
@@ -41,8 +41,8 @@
 // Views gives the latest view of the control state, and takes what this instance reports to the controllers.
 type Views interface {
 	View() *watcher.View
-	Report(l *wire.Loss)
-	Settle(h *wire.Host)
+	ReportLoss(l *wire.Loss)
+	ReportHost(h *wire.Host)
 	Observe(r gauger.Reading)
 }
 
@@ -179,7 +179,7 @@
 
 // publishPlace publishes, counts and logs an object's new place.
 func (c *Carrier) publishPlace(service string, object uint64, place placer.Assignment) {
-	c.Views.Settle(&wire.Host{
+	c.Views.ReportHost(&wire.Host{
 		Object: object, Service: service, Target: place.Target, Route: place.Route, Version: place.Version,
 	})
 	c.Metrics.placed.WithLabelValues(service, place.Reason).Inc()
--- a/entry/internal/carrier/carrier_test.go
+++ b/entry/internal/carrier/carrier_test.go
@@ -103,8 +103,8 @@
 }
 
 func (v *fakeViews) View() *watcher.View    { return v.view.Load() }
-func (v *fakeViews) Report(*wire.Loss)      {}
-func (v *fakeViews) Settle(*wire.Host)      {}
+func (v *fakeViews) ReportLoss(*wire.Loss)  {}
+func (v *fakeViews) ReportHost(*wire.Host)  {}
 func (v *fakeViews) Observe(gauger.Reading) {}
 
 // soleInstance is a Locator for the only entry instance of a region; it assigns no object.
@@ -145,7 +145,7 @@
 		specs = append(specs, placer.Spec{Name: name, Region: "r", Zone: "z", Slots: 2, OwnSlots: 2})
 	}
 	view := &watcher.View{
-		Table: planner.NewTable(testPlan()), Targets: map[string][]placer.Spec{"listings": specs}, Entries: 1,
+		Table: planner.NewTable(testPlan()), Targets: map[string][]placer.Spec{"listings": specs}, InstanceCount: 1,
 	}
 	c := &Carrier{
 		Self: "e1", Locator: soleInstance{}, Quotas: unlimitedQuotas{}, Region: "r", Zone: "z", Codec: translator.Face{}, Views: viewsWith(view), Sender: s,
--- a/entry/internal/carrier/gate.go
+++ b/entry/internal/carrier/gate.go
@@ -124,7 +124,7 @@
 func (g *serviceState) applyView(now time.Time, specs []placer.Spec, v *watcher.View, peers Locator, self int) []placer.Spec {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	withdrawn := g.placement.Update(now, specs, v.Entries)
+	withdrawn := g.placement.Update(now, specs, v.InstanceCount)
 	if g.peers == nil || !slices.Equal(g.peers, v.Peers) {
 		g.peers = v.Peers
 		g.placement.SetOwnership(func(object uint64) bool { return peers.Owns(v.Peers, object) }, self, len(v.Peers))
--- a/entry/internal/cli/collector.go
+++ b/entry/internal/cli/collector.go
@@ -24,12 +24,14 @@
 	directory *directory.Directory
 }
 
+// Describe implements prometheus.Collector.
 func (c *collector) Describe(ch chan<- *prometheus.Desc) {
 	for _, d := range []*prometheus.Desc{numberDesc, confirmedDesc, shareDesc, targetsDesc} {
 		ch <- d
 	}
 }
 
+// Collect implements prometheus.Collector.
 func (c *collector) Collect(ch chan<- prometheus.Metric) {
 	now := time.Now()
 	gauge := func(d *prometheus.Desc, v float64, labels ...string) {
@@ -44,7 +46,7 @@
 	if v == nil {
 		return
 	}
-	gauge(numberDesc, float64(v.Number))
+	gauge(numberDesc, float64(v.CatalogueNumber))
 	for _, l := range v.Catalogue.Limits() {
 		gauge(shareDesc, float64(c.directory.Holder.Limit(now, l.Resource)), l.Resource)
 	}
--- a/entry/internal/resolver/resolver.go
+++ b/entry/internal/resolver/resolver.go
@@ -85,7 +85,7 @@
 	_, _ = w.Write(body)
 	h.Count("answered")
 	_ = level.Info(h.Logger).Log("msg", "lookup", "service", service, "client", client, "region", region,
-		"entry", chosen[0].Name, "number", view.Number)
+		"entry", chosen[0].Name, "number", view.CatalogueNumber)
 }
 
 // Append appends an answer as JSON to out. It does not use an encoder, so that a look-up does not allocate for each
--- a/entry/internal/watcher/teller.go
+++ b/entry/internal/watcher/teller.go
@@ -15,125 +15,129 @@
 )
 
 const (
-	// tellPause is the least time between two calls with news, so that a service whose targets die by the dozen does not
-	// keep the controllers from their other work.
-	tellPause = 100 * time.Millisecond
-	// tellTimeout is a round trip between regions with one loss.
-	tellTimeout = time.Second
-	// maxReports bounds what waits to be told; the oldest are dropped.
-	maxReports = 256
-	// maxHosts bounds the hosts that wait to be told.
+	// reportInterval is the minimum time between two report calls, so that many targets of a service that die at the
+	// same time do not keep the controllers from their other work.
+	reportInterval = 100 * time.Millisecond
+	// reportTimeout allows for a round trip between regions with one lost packet.
+	reportTimeout = time.Second
+	// maxLosses bounds the losses that are pending; the oldest are dropped.
+	maxLosses = 256
+	// maxHosts bounds the hosts that are pending; the oldest are dropped.
 	maxHosts = 4096
 )
 
-// teller passes on what the controllers should know at once: that this instance leaves, and which requests were in
-// flight when a target died. It has calls of its own. Told by ending the call that waits for news, a stream of such
-// reports would keep the news away: each would end a call that had not been answered yet, and an accepted change would
-// not come into force here while targets die.
-type teller struct {
+// reporter sends to the controllers what must not wait for the next Watch call: that this instance leaves, which
+// requests were in flight when a target died, and where objects are kept warm. It makes calls of its own. If each
+// report ended the pending Watch call instead, a stream of reports would delay updates: each would end a call that had
+// not been answered yet, and an accepted change would not come into force here while targets die.
+type reporter struct {
 	leaving atomic.Bool
-	// at is the controller that is watched.
-	at   atomic.Pointer[netip.AddrPort]
-	done chan struct{}
-
-	mu      sync.Mutex
-	reports []*wire.Loss
-	hosts   []*wire.Host
-	wake    chan struct{}
+	// controller is the one that Watch calls go to; nil before the first call.
+	controller atomic.Pointer[netip.AddrPort]
+	done       chan struct{}
+
+	mu     sync.Mutex
+	losses []*wire.Loss
+	hosts  []*wire.Host
+	// wake holds a value while a report call is requested.
+	wake chan struct{}
 }
 
-func (t *teller) start(w *Watcher) {
+func (t *reporter) start(w *Watcher) {
 	t.done = make(chan struct{})
 	t.wake = make(chan struct{}, 1)
-	go w.tell()
+	go w.sendReports()
 }
 
-// Leave tells the controllers that this instance stops, so that callers are no longer sent here.
+// Leave reports to the controllers that this instance stops, so that callers are no longer sent here.
 func (w *Watcher) Leave() {
-	w.teller.leaving.Store(true)
-	w.teller.nudge()
+	w.reporter.leaving.Store(true)
+	w.reporter.signal()
 }
 
-// Report passes on that a request was in flight when a target died.
-func (w *Watcher) Report(l *wire.Loss) {
-	w.teller.add(l)
-	w.teller.nudge()
+// ReportLoss queues a report that a request was in flight when a target died, or that a suspected request succeeded.
+func (w *Watcher) ReportLoss(l *wire.Loss) {
+	w.reporter.addLosses(l)
+	w.reporter.signal()
 }
 
-// Settle passes on where an object is kept warm from now on.
-func (w *Watcher) Settle(h *wire.Host) {
-	h.Region = w.Node.GetRegion()
-	w.teller.settle(h)
-	w.teller.nudge()
+// ReportHost queues a report of the target at which an object is kept warm from now on. It sets the host's region.
+func (w *Watcher) ReportHost(h *wire.Host) {
+	h.Region = w.Instance.GetRegion()
+	w.reporter.addHosts(h)
+	w.reporter.signal()
 }
 
-func (t *teller) add(reports ...*wire.Loss) {
+func (t *reporter) addLosses(losses ...*wire.Loss) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.reports = append(t.reports, reports...)
-	if extra := len(t.reports) - maxReports; extra > 0 {
-		t.reports = t.reports[extra:]
+	t.losses = append(t.losses, losses...)
+	if excess := len(t.losses) - maxLosses; excess > 0 {
+		t.losses = t.losses[excess:]
 	}
 }
 
-// settle keeps hosts until they can be told; the newest are kept.
-func (t *teller) settle(hosts ...*wire.Host) {
+// addHosts queues hosts for the next report; beyond maxHosts the oldest are dropped.
+func (t *reporter) addHosts(hosts ...*wire.Host) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.hosts = append(t.hosts, hosts...)
-	if extra := len(t.hosts) - maxHosts; extra > 0 {
-		t.hosts = t.hosts[extra:]
+	if excess := len(t.hosts) - maxHosts; excess > 0 {
+		t.hosts = t.hosts[excess:]
 	}
 }
 
-func (t *teller) take() ([]*wire.Loss, []*wire.Host) {
+// takePending removes and returns all queued losses and hosts.
+func (t *reporter) takePending() ([]*wire.Loss, []*wire.Host) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	reports, hosts := t.reports, t.hosts
-	t.reports, t.hosts = nil, nil
-	return reports, hosts
+	losses, hosts := t.losses, t.hosts
+	t.losses, t.hosts = nil, nil
+	return losses, hosts
 }
 
-func (t *teller) nudge() {
+// signal requests a report call, without blocking.
+func (t *reporter) signal() {
 	select {
 	case t.wake <- struct{}{}:
 	default:
 	}
 }
 
-func (w *Watcher) tell() {
-	defer close(w.teller.done)
+// sendReports makes a call for each signal until the watcher stops, at most one per reportInterval.
+func (w *Watcher) sendReports() {
+	defer close(w.reporter.done)
 	for {
 		select {
 		case <-w.ctx.Done():
 			return
-		case <-w.teller.wake:
+		case <-w.reporter.wake:
 		}
-		w.tellOnce()
+		w.sendReport()
 		select {
 		case <-w.ctx.Done():
 			return
-		case <-time.After(tellPause):
+		case <-time.After(reportInterval):
 		}
 	}
 }
 
-// tellOnce makes one call. If it fails, the reports wait for the next one; that this instance leaves is part of the next
-// call for news, too.
-func (w *Watcher) tellOnce() {
-	at := w.teller.at.Load()
-	if at == nil {
+// sendReport makes one call. If it fails, losses and hosts are queued again for the next one; that this instance leaves
+// is part of the next Watch call, too.
+func (w *Watcher) sendReport() {
+	controller := w.reporter.controller.Load()
+	if controller == nil {
 		return
 	}
-	reports, hosts := w.teller.take()
-	ctx, cancel := context.WithTimeout(w.ctx, tellTimeout)
+	losses, hosts := w.reporter.takePending()
+	ctx, cancel := context.WithTimeout(w.ctx, reportTimeout)
 	defer cancel()
-	client := wireconnect.NewExchangeClient(w.client, w.Dialer.URL(*at))
-	request := &wire.TellRequest{Node: w.node(w.View() == nil), Losses: reports, Hosts: hosts}
+	client := wireconnect.NewExchangeClient(w.client, w.Dialer.URL(*controller))
+	request := &wire.TellRequest{Node: w.describe(w.View() == nil), Losses: losses, Hosts: hosts}
 	if _, err := client.Tell(ctx, connect.NewRequest(request)); err != nil && w.ctx.Err() == nil {
-		_ = level.Warn(w.Logger).Log("msg", "controller not told", "controller", at, "reports", len(reports), "err", err)
-		w.teller.add(reports...)
-		w.teller.settle(hosts...)
-		w.teller.nudge()
+		_ = level.Warn(w.Logger).Log("msg", "controller not told", "controller", controller, "reports", len(losses), "err", err)
+		w.reporter.addLosses(losses...)
+		w.reporter.addHosts(hosts...)
+		w.reporter.signal()
 	}
 }
