--- a/controller/internal/divider/divider.go
+++ b/controller/internal/allocator/allocator.go
@@ -1,6 +1,6 @@
-// Package divider answers entry instances that ask for parts of organisations' quotas, on any controller: here if this
+// Package allocator answers entry instances that ask for parts of organisations' quotas, on any controller: here if this
 // controller leads, and by passing the question on to the leader otherwise.
-package divider
+package allocator
 
 import (
 	"context"
--- a/controller/internal/cli/cli.go
+++ b/controller/internal/cli/cli.go
@@ -14,11 +14,11 @@
 	"github.com/go-kit/log/level"
 	"github.com/urfave/cli/v3"
 
+	"chervilrail.example/controller/internal/allocator"
 	"chervilrail.example/controller/internal/changer"
 	"chervilrail.example/controller/internal/config"
 	"chervilrail.example/controller/internal/consenter"
 	"chervilrail.example/controller/internal/courier"
-	"chervilrail.example/controller/internal/divider"
 	"chervilrail.example/controller/internal/exchanger"
 	"chervilrail.example/controller/internal/server"
 	"chervilrail.example/controller/internal/steerer"
@@ -165,7 +165,7 @@
 	}
 	mind.OnRoutingChange = exchange.Wake
 	change := &changer.Changer{Mind: mind, Passer: exchange, Logger: logs}
-	divide := &divider.Divider{Mind: mind, Passer: exchange, Logger: logs}
+	divide := &allocator.Divider{Mind: mind, Passer: exchange, Logger: logs}
 	handlers := &server.Server{
 		Mind: mind, Token: settings.Token, Exchanger: exchange, Changer: change, Divider: divide,
 	}
