--- a/controller/internal/cli/cli.go
+++ b/controller/internal/cli/cli.go
@@ -20,8 +20,8 @@
 	"chervilrail.example/controller/internal/consenter"
 	"chervilrail.example/controller/internal/courier"
 	"chervilrail.example/controller/internal/exchanger"
+	"chervilrail.example/controller/internal/selector"
 	"chervilrail.example/controller/internal/server"
-	"chervilrail.example/controller/internal/steerer"
 	"chervilrail.example/core/dialer"
 	"chervilrail.example/core/kernel"
 	"chervilrail.example/core/listener"
@@ -189,7 +189,7 @@
 		},
 	}
 	k.Services = append(k.Services, faces(settings, &translator.Operator{
-		Changer: change, Register: exchange, Steerer: &steerer.Steerer{Sightings: exchange},
+		Changer: change, Register: exchange, Steerer: &selector.Steerer{Sightings: exchange},
 		Regions: settings.Regions, Logger: logs,
 	})...)
 	return k, closeLog
--- a/controller/internal/steerer/steerer.go
+++ b/controller/internal/selector/selector.go
@@ -1,5 +1,5 @@
-// Package steerer chooses the entry instances that a client is told to use.
-package steerer
+// Package selector chooses the entry instances that a client is told to use.
+package selector
 
 import (
 	"net/netip"
--- a/controller/internal/steerer/steerer_test.go
+++ b/controller/internal/selector/selector_test.go
@@ -1,4 +1,4 @@
-package steerer
+package selector
 
 import (
 	"fmt"
