--- a/controller/internal/allocator/allocator.go
+++ b/controller/internal/allocator/allocator.go
@@ -24,15 +24,15 @@
 	PassQuota(ctx context.Context, r *wire.AllotRequest) (*wire.AllotResponse, error)
 }
 
-// Divider serves entry instances. Set the exported fields before use.
-type Divider struct {
+// Allocator serves entry instances. Set the exported fields before use.
+type Allocator struct {
 	Mind   Mind
 	Passer Passer
 	Logger log.Logger
 }
 
 // Allot implements the call of entry instances, and of controllers that pass it on.
-func (d *Divider) Allot(
+func (d *Allocator) Allot(
 	ctx context.Context, r *connect.Request[wire.AllotRequest],
 ) (*connect.Response[wire.AllotResponse], error) {
 	response, err := d.Mind.Allot(ctx, r.Msg)
@@ -47,7 +47,7 @@
 	return connect.NewResponse(response), nil
 }
 
-func (d *Divider) pass(ctx context.Context, r *wire.AllotRequest) (*wire.AllotResponse, error) {
+func (d *Allocator) pass(ctx context.Context, r *wire.AllotRequest) (*wire.AllotResponse, error) {
 	r.Passed = true
 	return d.Passer.PassQuota(ctx, r)
 }
