--- a/controller/internal/allocator/allocator.go
+++ b/controller/internal/allocator/allocator.go
@@ -14,8 +14,8 @@
 	"chervilrail.example/core/wire"
 )
 
-// Mind allots where this controller leads.
-type Mind interface {
+// Consensus allots where this controller leads.
+type Consensus interface {
 	Allot(ctx context.Context, r *wire.AllotRequest) (*wire.AllotResponse, error)
 }
 
@@ -26,7 +26,7 @@
 
 // Allocator serves entry instances. Set the exported fields before use.
 type Allocator struct {
-	Mind   Mind
+	Mind   Consensus
 	Passer Passer
 	Logger log.Logger
 }
