--- a/controller/internal/allocator/allocator.go
+++ b/controller/internal/allocator/allocator.go
@@ -26,16 +26,16 @@
 
 // Allocator serves entry instances. Set the exported fields before use.
 type Allocator struct {
-	Mind   Consensus
-	Passer Passer
-	Logger log.Logger
+	Consensus Consensus
+	Passer    Passer
+	Logger    log.Logger
 }
 
 // Allot implements the call of entry instances, and of controllers that pass it on.
 func (d *Allocator) Allot(
 	ctx context.Context, r *connect.Request[wire.AllotRequest],
 ) (*connect.Response[wire.AllotResponse], error) {
-	response, err := d.Mind.Allot(ctx, r.Msg)
+	response, err := d.Consensus.Allot(ctx, r.Msg)
 	var leader *consenter.NotLeaderError
 	if errors.As(err, &leader) && !r.Msg.GetPassed() {
 		response, err = d.pass(ctx, r.Msg)
