--- a/controller/internal/allocator/allocator.go
+++ b/controller/internal/allocator/allocator.go
@@ -19,15 +19,15 @@
 	Allot(ctx context.Context, r *wire.AllotRequest) (*wire.AllotResponse, error)
 }
 
-// Passer sends questions to the leader.
-type Passer interface {
+// Forwarder sends questions to the leader.
+type Forwarder interface {
 	PassQuota(ctx context.Context, r *wire.AllotRequest) (*wire.AllotResponse, error)
 }
 
 // Allocator serves entry instances. Set the exported fields before use.
 type Allocator struct {
 	Consensus Consensus
-	Passer    Passer
+	Passer    Forwarder
 	Logger    log.Logger
 }
 
