--- a/controller/internal/allocator/allocator.go
+++ b/controller/internal/allocator/allocator.go
@@ -27,7 +27,7 @@
 // Allocator serves entry instances. Set the exported fields before use.
 type Allocator struct {
 	Consensus Consensus
-	Passer    Forwarder
+	Forwarder Forwarder
 	Logger    log.Logger
 }
 
@@ -49,5 +49,5 @@
 
 func (d *Allocator) pass(ctx context.Context, r *wire.AllotRequest) (*wire.AllotResponse, error) {
 	r.Passed = true
-	return d.Passer.PassQuota(ctx, r)
+	return d.Forwarder.PassQuota(ctx, r)
 }
--- a/controller/internal/cli/cli.go
+++ b/controller/internal/cli/cli.go
@@ -165,7 +165,7 @@
 	}
 	mind.OnRoutingChange = exchange.Wake
 	change := &changer.Changer{Mind: mind, Passer: exchange, Logger: logs}
-	divide := &allocator.Allocator{Consensus: mind, Passer: exchange, Logger: logs}
+	divide := &allocator.Allocator{Consensus: mind, Forwarder: exchange, Logger: logs}
 	handlers := &server.Server{
 		Mind: mind, Token: settings.Token, Exchanger: exchange, Changer: change, Divider: divide,
 	}
