--- a/controller/internal/allocator/allocator.go
+++ b/controller/internal/allocator/allocator.go
@@ -21,7 +21,7 @@
 
 // Forwarder sends questions to the leader.
 type Forwarder interface {
-	PassQuota(ctx context.Context, r *wire.AllotRequest) (*wire.AllotResponse, error)
+	ForwardAllot(ctx context.Context, r *wire.AllotRequest) (*wire.AllotResponse, error)
 }
 
 // Allocator serves entry instances. Set the exported fields before use.
@@ -49,5 +49,5 @@
 
 func (d *Allocator) pass(ctx context.Context, r *wire.AllotRequest) (*wire.AllotResponse, error) {
 	r.Passed = true
-	return d.Forwarder.PassQuota(ctx, r)
+	return d.Forwarder.ForwardAllot(ctx, r)
 }
