--- a/controller/internal/selector/selector.go
+++ b/controller/internal/selector/selector.go
@@ -23,13 +23,13 @@
 	Entries() []*wire.Seen
 }
 
-// Steerer answers clients. Set the exported fields before use.
-type Steerer struct {
+// Selector answers clients. Set the exported fields before use.
+type Selector struct {
 	Sightings Sightings
 }
 
 // Steer returns the entry instances for a client of a region and availability zone, and until when that holds.
-func (s *Steerer) Steer(client netip.Addr, region, _ string, now time.Time) ([]netip.AddrPort, time.Time) {
+func (s *Selector) Steer(client netip.Addr, region, _ string, now time.Time) ([]netip.AddrPort, time.Time) {
 	var near, all group
 	for _, seen := range s.Sightings.Entries() {
 		n := seen.GetNode()
