--- a/controller/internal/selector/selector.go
+++ b/controller/internal/selector/selector.go
@@ -18,14 +18,14 @@
 // maxAnswers is how many entry instances one answer names: as many as clients take from one.
 const maxAnswers = 64
 
-// Sightings lists the entry instances heard lately.
-type Sightings interface {
+// InstanceLister lists the entry instances heard lately.
+type InstanceLister interface {
 	Entries() []*wire.Seen
 }
 
 // Selector answers clients. Set the exported fields before use.
 type Selector struct {
-	Sightings Sightings
+	Sightings InstanceLister
 }
 
 // Steer returns the entry instances for a client of a region and availability zone, and until when that holds.
