--- a/controller/internal/selector/selector.go
+++ b/controller/internal/selector/selector.go
@@ -25,13 +25,13 @@
 
 // Selector answers clients. Set the exported fields before use.
 type Selector struct {
-	Sightings InstanceLister
+	InstanceLister InstanceLister
 }
 
 // Steer returns the entry instances for a client of a region and availability zone, and until when that holds.
 func (s *Selector) Steer(client netip.Addr, region, _ string, now time.Time) ([]netip.AddrPort, time.Time) {
 	var near, all group
-	for _, seen := range s.Sightings.Entries() {
+	for _, seen := range s.InstanceLister.Entries() {
 		n := seen.GetNode()
 		address, err := netip.ParseAddrPort(n.GetCaller())
 		if err != nil || n.GetLeaving() && !n.GetStarting() {
--- a/controller/internal/selector/selector_test.go
+++ b/controller/internal/selector/selector_test.go
@@ -44,7 +44,7 @@
 	for _, count := range []int{1, 27, 64, 100, 300} {
 		t.Run(fmt.Sprint(count), func(t *testing.T) {
 			is := is.New(t)
-			counts := named(&Selector{Sightings: entries("r", count)}, "r", 2000)
+			counts := named(&Selector{InstanceLister: entries("r", count)}, "r", 2000)
 			is.Equal(len(counts), count)
 			for _, n := range counts {
 				is.True(n > 2000*min(count, maxAnswers)/count/3)
@@ -55,7 +55,7 @@
 
 func TestOthersWhereTheRegionHasNone(t *testing.T) {
 	is := is.New(t)
-	is.Equal(len(named(&Selector{Sightings: entries("far", 3)}, "near", 10)), 3)
+	is.Equal(len(named(&Selector{InstanceLister: entries("far", 3)}, "near", 10)), 3)
 }
 
 // Guards against callers that all meet at the first instances which are ready after a restart of all.
@@ -66,7 +66,7 @@
 			for _, s := range seen[ready:] {
 				s.Node.Leaving, s.Node.Starting = true, true
 			}
-			is.New(t).Equal(len(named(&Selector{Sightings: seen}, "r", 10)), want)
+			is.New(t).Equal(len(named(&Selector{InstanceLister: seen}, "r", 10)), want)
 		})
 	}
 }
@@ -77,5 +77,5 @@
 	for _, s := range seen[1:] {
 		s.Node.Leaving = true
 	}
-	is.New(t).Equal(len(named(&Selector{Sightings: seen}, "r", 10)), 1)
+	is.New(t).Equal(len(named(&Selector{InstanceLister: seen}, "r", 10)), 1)
 }
