--- a/controller/internal/exchanger/exchanger.go
+++ b/controller/internal/exchanger/exchanger.go
@@ -32,8 +32,8 @@
 	tickEvery   = 200 * time.Millisecond
 )
 
-// Mind gives the replicated routing state.
-type Mind interface {
+// Consensus gives the replicated routing state.
+type Consensus interface {
 	Routing() *consenter.Routing
 }
 
@@ -41,7 +41,7 @@
 type Exchanger struct {
 	Self   string
 	Region string
-	Mind   Mind
+	Mind   Consensus
 	Dialer *dialer.Dialer
 	// Shelf keeps the hosts of objects over restarts; nil keeps none.
 	Shelf  Shelf
