--- a/controller/internal/exchanger/announcements.go
+++ b/controller/internal/exchanger/announcements.go
@@ -19,7 +19,7 @@
 		return err
 	}
 	// With nobody to pass it on to, the announcement would be lost: the target asks another controller.
-	if len(x.Mind.Routing().Members) == 0 {
+	if len(x.Consensus.Routing().Members) == 0 {
 		return &UnjoinedError{}
 	}
 	return x.take(ctx, r)
@@ -69,7 +69,7 @@
 	ctx, cancel := context.WithTimeout(ctx, bindTimeout)
 	defer cancel()
 	for {
-		voters := x.Mind.Routing().Voters()
+		voters := x.Consensus.Routing().Voters()
 		x.mu.Lock()
 		bound := most(voters, func(name string) bool { return x.gossip.HasAcknowledged(name, counter) })
 		news := x.news
--- a/controller/internal/exchanger/exchanger.go
+++ b/controller/internal/exchanger/exchanger.go
@@ -39,10 +39,10 @@
 
 // Exchanger is the service. Set the exported fields before Start.
 type Exchanger struct {
-	Self   string
-	Region string
-	Mind   Consensus
-	Dialer *dialer.Dialer
+	Self      string
+	Region    string
+	Consensus Consensus
+	Dialer    *dialer.Dialer
 	// Shelf keeps the hosts of objects over restarts; nil keeps none.
 	Shelf  Shelf
 	Logger log.Logger
@@ -175,7 +175,7 @@
 
 // follow keeps one link to every other member of the group.
 func (x *Exchanger) follow() {
-	members := x.Mind.Routing().Members
+	members := x.Consensus.Routing().Members
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	present := map[string]bool{}
@@ -254,7 +254,7 @@
 
 // linked reports whether this controller lately reached most of the voters.
 func (x *Exchanger) linked(now time.Time) bool {
-	voters := x.Mind.Routing().Voters()
+	voters := x.Consensus.Routing().Voters()
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return most(voters, func(name string) bool { return x.gossip.Reachable(now, name) })
--- a/controller/internal/exchanger/submit.go
+++ b/controller/internal/exchanger/submit.go
@@ -37,7 +37,7 @@
 }
 
 func (x *Exchanger) leader() (wireconnect.ExchangeClient, error) {
-	address, err := netip.ParseAddrPort(x.Mind.Routing().LeaderAddress())
+	address, err := netip.ParseAddrPort(x.Consensus.Routing().LeaderAddress())
 	if err != nil {
 		return nil, &LeaderlessError{}
 	}
--- a/controller/internal/exchanger/watch.go
+++ b/controller/internal/exchanger/watch.go
@@ -52,7 +52,7 @@
 
 // answer makes the response of this moment, and reports whether it holds anything new.
 func (x *Exchanger) answer(now time.Time, r *wire.WatchRequest) (*wire.WatchResponse, bool) {
-	routing := x.Mind.Routing()
+	routing := x.Consensus.Routing()
 	linked := x.linked(now)
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -80,7 +80,7 @@
 
 // nameControllers lists the controllers, and which of them are near. The caller holds the lock.
 func (x *Exchanger) nameControllers(now time.Time, region string, out *wire.WatchResponse) {
-	for _, m := range x.Mind.Routing().Members {
+	for _, m := range x.Consensus.Routing().Members {
 		out.Controllers = append(out.Controllers, m.GetAddress())
 		if x.gossip.ReachableIn(now, m.GetName(), region) {
 			out.Near = append(out.Near, m.GetAddress())
