--- a/controller/internal/exchanger/exchanger.go
+++ b/controller/internal/exchanger/exchanger.go
@@ -44,7 +44,7 @@
 	Consensus Consensus
 	Dialer    *dialer.Dialer
 	// Shelf keeps the hosts of objects over restarts; nil keeps none.
-	Shelf  Shelf
+	Shelf  HostStore
 	Logger log.Logger
 
 	mu     sync.Mutex
--- a/controller/internal/exchanger/hosts.go
+++ b/controller/internal/exchanger/hosts.go
@@ -30,8 +30,8 @@
 	})
 }
 
-// Shelf keeps the objects' hosts over restarts.
-type Shelf interface {
+// HostStore keeps the objects' hosts over restarts.
+type HostStore interface {
 	Load() ([]*wire.Host, error)
 	Save(list []*wire.Host) error
 }
