--- a/controller/internal/cli/cli.go
+++ b/controller/internal/cli/cli.go
@@ -161,7 +161,7 @@
 	}
 	exchange := &exchanger.Exchanger{
 		Self: settings.Name, Region: settings.Region, Consensus: mind, Dialer: &dialer.Dialer{Keys: controlKeys, Plain: true},
-		Shelf: &storer.Hosts{Folder: settings.Folder}, Logger: logs,
+		HostStore: &storer.Hosts{Folder: settings.Folder}, Logger: logs,
 	}
 	mind.OnRoutingChange = exchange.Wake
 	change := &changer.Changer{Mind: mind, Passer: exchange, Logger: logs}
--- a/controller/internal/exchanger/exchanger.go
+++ b/controller/internal/exchanger/exchanger.go
@@ -43,9 +43,9 @@
 	Region    string
 	Consensus Consensus
 	Dialer    *dialer.Dialer
-	// Shelf keeps the hosts of objects over restarts; nil keeps none.
-	Shelf  HostStore
-	Logger log.Logger
+	// HostStore keeps the hosts of objects over restarts; nil keeps none.
+	HostStore HostStore
+	Logger    log.Logger
 
 	mu     sync.Mutex
 	gossip gossiper.Gossiper
@@ -86,7 +86,7 @@
 	x.ctx, x.cancel = context.WithCancel(context.Background())
 	x.group.Go(x.keep)
 	x.remember()
-	if x.Shelf != nil {
+	if x.HostStore != nil {
 		x.group.Go(x.save)
 	}
 	return nil
--- a/controller/internal/exchanger/hosts.go
+++ b/controller/internal/exchanger/hosts.go
@@ -38,10 +38,10 @@
 
 // remember takes up the hosts of the last run.
 func (x *Exchanger) remember() {
-	if x.Shelf == nil {
+	if x.HostStore == nil {
 		return
 	}
-	list, err := x.Shelf.Load()
+	list, err := x.HostStore.Load()
 	if err != nil {
 		_ = level.Warn(x.Logger).Log("msg", "hosts of objects not read, they are placed anew", "err", err)
 		return
@@ -73,7 +73,7 @@
 		if changed == saved {
 			continue
 		}
-		err := x.Shelf.Save(list)
+		err := x.HostStore.Save(list)
 		if (err != nil) != failing {
 			failing = err != nil
 			_ = level.Warn(x.Logger).Log("msg", "writing hosts of objects", "failing", failing, "err", err)
