--- a/controller/internal/changer/changer.go
+++ b/controller/internal/changer/changer.go
@@ -21,8 +21,8 @@
 // are answered by the call that brought them.
 const timeout = 3 * time.Second
 
-// Mind proposes commands where this controller leads.
-type Mind interface {
+// Consensus proposes commands where this controller leads.
+type Consensus interface {
 	Propose(ctx context.Context, command *wire.Command) (*wire.Result, error)
 }
 
@@ -33,7 +33,7 @@
 
 // Changer serves operators. Set the exported fields before use.
 type Changer struct {
-	Mind   Mind
+	Mind   Consensus
 	Passer Passer
 	Logger log.Logger
 }
