--- a/controller/internal/changer/changer.go
+++ b/controller/internal/changer/changer.go
@@ -33,9 +33,9 @@
 
 // Changer serves operators. Set the exported fields before use.
 type Changer struct {
-	Mind   Consensus
-	Passer Passer
-	Logger log.Logger
+	Consensus Consensus
+	Passer    Passer
+	Logger    log.Logger
 }
 
 // Change puts a new routing plan in force. Without an error the verdict is final; after an error the change may or
@@ -80,7 +80,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	result, err := c.Mind.Propose(ctx, command)
+	result, err := c.Consensus.Propose(ctx, command)
 	var leader *consenter.NotLeaderError
 	if errors.As(err, &leader) {
 		result, err = c.Passer.Pass(ctx, command)
@@ -115,7 +115,7 @@
 	if listener.Left(ctx) {
 		return nil, connect.NewError(connect.CodeCanceled, c.unwanted("submit"))
 	}
-	result, err := c.Mind.Propose(ctx, r.Msg.GetCommand())
+	result, err := c.Consensus.Propose(ctx, r.Msg.GetCommand())
 	if err != nil {
 		return nil, connect.NewError(connect.CodeUnavailable, err)
 	}
--- a/controller/internal/changer/changer_test.go
+++ b/controller/internal/changer/changer_test.go
@@ -34,7 +34,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			m := &mind{}
-			c := &Changer{Mind: m, Logger: log.NewNopLogger()}
+			c := &Changer{Consensus: m, Logger: log.NewNopLogger()}
 			suspended := make(chan struct{})
 			socket, err := net.Listen("tcp", "127.0.0.1:0")
 			is.NoErr(err)
