--- a/controller/internal/changer/changer.go
+++ b/controller/internal/changer/changer.go
@@ -26,15 +26,15 @@
 	Propose(ctx context.Context, command *wire.Command) (*wire.Result, error)
 }
 
-// Passer sends commands to the leader.
-type Passer interface {
+// Forwarder sends commands to the leader.
+type Forwarder interface {
 	Pass(ctx context.Context, command *wire.Command) (*wire.Result, error)
 }
 
 // Changer serves operators. Set the exported fields before use.
 type Changer struct {
 	Consensus Consensus
-	Passer    Passer
+	Passer    Forwarder
 	Logger    log.Logger
 }
 
