--- a/controller/internal/changer/changer.go
+++ b/controller/internal/changer/changer.go
@@ -34,7 +34,7 @@
 // Changer serves operators. Set the exported fields before use.
 type Changer struct {
 	Consensus Consensus
-	Passer    Forwarder
+	Forwarder Forwarder
 	Logger    log.Logger
 }
 
@@ -83,7 +83,7 @@
 	result, err := c.Consensus.Propose(ctx, command)
 	var leader *consenter.NotLeaderError
 	if errors.As(err, &leader) {
-		result, err = c.Passer.Pass(ctx, command)
+		result, err = c.Forwarder.Pass(ctx, command)
 	}
 	if err != nil {
 		_ = level.Warn(c.Logger).Log("msg", "command not answered", "command", what, "err", err)
--- a/controller/internal/cli/cli.go
+++ b/controller/internal/cli/cli.go
@@ -164,7 +164,7 @@
 		HostStore: &storer.Hosts{Folder: settings.Folder}, Logger: logs,
 	}
 	mind.OnRoutingChange = exchange.Wake
-	change := &changer.Changer{Consensus: mind, Passer: exchange, Logger: logs}
+	change := &changer.Changer{Consensus: mind, Forwarder: exchange, Logger: logs}
 	divide := &allocator.Allocator{Consensus: mind, Forwarder: exchange, Logger: logs}
 	handlers := &server.Server{
 		Mind: mind, Token: settings.Token, Exchanger: exchange, Changer: change, Divider: divide,
