--- a/controller/internal/server/server.go
+++ b/controller/internal/server/server.go
@@ -26,8 +26,8 @@
 	maxID       = 128
 )
 
-// Mind is what the handlers need of the control service.
-type Mind interface {
+// Consensus is what the handlers need of the control service.
+type Consensus interface {
 	Deliver(ctx context.Context, messages []*wire.Message) error
 	Propose(ctx context.Context, command *wire.Command) (*wire.Result, error)
 	Renew(ctx context.Context, r *wire.RenewRequest) (*wire.RenewResponse, error)
@@ -61,7 +61,7 @@
 
 // Server implements the three services of a controller.
 type Server struct {
-	Mind      Mind
+	Mind      Consensus
 	Exchanger Exchanger
 	Changer   Changer
 	Divider   Divider
