--- a/controller/internal/server/server.go
+++ b/controller/internal/server/server.go
@@ -61,7 +61,7 @@
 
 // Server implements the three services of a controller.
 type Server struct {
-	Mind      Consensus
+	Consensus Consensus
 	Exchanger Exchanger
 	Changer   Changer
 	Divider   Divider
@@ -113,7 +113,7 @@
 func (s *Server) Deliver(
 	ctx context.Context, r *connect.Request[wire.DeliverRequest],
 ) (*connect.Response[wire.DeliverResponse], error) {
-	if err := s.Mind.Deliver(ctx, r.Msg.GetMessages()); err != nil {
+	if err := s.Consensus.Deliver(ctx, r.Msg.GetMessages()); err != nil {
 		return nil, translate(err)
 	}
 	return connect.NewResponse(&wire.DeliverResponse{}), nil
@@ -126,7 +126,7 @@
 	if r.Msg.GetNode().GetName() == "" {
 		return nil, invalid("node.name", "a name")
 	}
-	response, err := s.Mind.Renew(ctx, r.Msg)
+	response, err := s.Consensus.Renew(ctx, r.Msg)
 	if err != nil {
 		return nil, translate(err)
 	}
@@ -181,7 +181,7 @@
 func (s *Server) Get(
 	ctx context.Context, _ *connect.Request[wire.GetRequest],
 ) (*connect.Response[wire.GetResponse], error) {
-	response, err := s.Mind.Get(ctx)
+	response, err := s.Consensus.Get(ctx)
 	if err != nil {
 		return nil, translate(err)
 	}
@@ -192,7 +192,7 @@
 func (s *Server) Status(
 	ctx context.Context, _ *connect.Request[wire.StatusRequest],
 ) (*connect.Response[wire.StatusResponse], error) {
-	response, err := s.Mind.Status(ctx)
+	response, err := s.Consensus.Status(ctx)
 	if err != nil {
 		return nil, translate(err)
 	}
@@ -202,7 +202,7 @@
 func (s *Server) propose(ctx context.Context, command *wire.Command) (*wire.Result, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	result, err := s.Mind.Propose(ctx, command)
+	result, err := s.Consensus.Propose(ctx, command)
 	if err != nil {
 		return nil, translate(err)
 	}
