--- a/controller/internal/server/server.go
+++ b/controller/internal/server/server.go
@@ -47,8 +47,8 @@
 	Submit(context.Context, *connect.Request[wire.SubmitRequest]) (*connect.Response[wire.SubmitResponse], error)
 }
 
-// Divider gives entry instances parts of organisations' quotas.
-type Divider interface {
+// Allocator gives entry instances parts of organisations' quotas.
+type Allocator interface {
 	Allot(context.Context, *connect.Request[wire.AllotRequest]) (*connect.Response[wire.AllotResponse], error)
 }
 
@@ -56,7 +56,7 @@
 type exchange struct {
 	Exchanger
 	Changer
-	Divider
+	Allocator
 }
 
 // Server implements the three services of a controller.
@@ -64,7 +64,7 @@
 	Consensus Consensus
 	Exchanger Exchanger
 	Changer   Changer
-	Divider   Divider
+	Divider   Allocator
 	// Token guards the operators' service; an empty one leaves it open.
 	Token string
 }
