--- a/controller/internal/cli/cli.go
+++ b/controller/internal/cli/cli.go
@@ -167,7 +167,7 @@
 	change := &changer.Changer{Consensus: mind, Forwarder: exchange, Logger: logs}
 	divide := &allocator.Allocator{Consensus: mind, Forwarder: exchange, Logger: logs}
 	handlers := &server.Server{
-		Consensus: mind, Token: settings.Token, Exchanger: exchange, Changer: change, Divider: divide,
+		Consensus: mind, Token: settings.Token, Exchanger: exchange, Changer: change, Allocator: divide,
 	}
 	operator := handlers.Operator()
 	k := &kernel.Kernel{Logger: logs, Patience: settings.Patience, Fatal: fatal}
--- a/controller/internal/server/server.go
+++ b/controller/internal/server/server.go
@@ -64,7 +64,7 @@
 	Consensus Consensus
 	Exchanger Exchanger
 	Changer   Changer
-	Divider   Allocator
+	Allocator Allocator
 	// Token guards the operators' service; an empty one leaves it open.
 	Token string
 }
@@ -78,7 +78,7 @@
 	)
 	mux.Handle(wireconnect.NewReplicasHandler(s, options))
 	mux.Handle(wireconnect.NewControlHandler(s, options))
-	mux.Handle(wireconnect.NewExchangeHandler(exchange{s.Exchanger, s.Changer, s.Divider}, options))
+	mux.Handle(wireconnect.NewExchangeHandler(exchange{s.Exchanger, s.Changer, s.Allocator}, options))
 	return mux
 }
 
