--- a/controller/internal/cli/cli.go
+++ b/controller/internal/cli/cli.go
@@ -147,7 +147,7 @@
 		Member:    &wire.Member{Name: settings.Name, Address: settings.Control.String()},
 		Peers:     settings.Peers,
 		MaxVoters: settings.Seats,
-		Bootstrap: settings.Found,
+		Bootstrap: settings.Bootstrap,
 		Timing: replicator.Timing{
 			Election:     settings.Election,
 			Heartbeat:    settings.Heartbeat,
--- a/controller/internal/config/config.go
+++ b/controller/internal/config/config.go
@@ -47,8 +47,8 @@
 	Callers   netip.AddrPort
 	Directory netip.AddrPort
 	// Seats is how many controllers vote, Found whether this start founds the group of exactly the peers.
-	Seats int
-	Found bool
+	Seats     int
+	Bootstrap bool
 	// Regions holds the region of each availability zone.
 	Regions map[string]string
 
@@ -181,7 +181,7 @@
 		}
 		c.Peers[address.Addr().String()] = netip.AddrPortFrom(address.Addr(), c.Control.Port())
 	}
-	c.Found = d.Flag(s, "found", false)
+	c.Bootstrap = d.Flag(s, "found", false)
 	c.Seats = int(d.Number(s, "seats", defaultSeats, 1, maxControllers))
 	if c.Control.IsValid() {
 		c.Name = c.Control.Addr().String()
