--- a/controller/internal/cli/cli.go
+++ b/controller/internal/cli/cli.go
@@ -146,7 +146,7 @@
 		Folder:    settings.Folder,
 		Member:    &wire.Member{Name: settings.Name, Address: settings.Control.String()},
 		Peers:     settings.Peers,
-		MaxVoters: settings.Seats,
+		MaxVoters: settings.MaxVoters,
 		Bootstrap: settings.Bootstrap,
 		Timing: replicator.Timing{
 			Election:     settings.Election,
--- a/controller/internal/config/config.go
+++ b/controller/internal/config/config.go
@@ -46,8 +46,8 @@
 	// Callers takes the calls of the users' platform, Directory its clients' look-ups; both are optional.
 	Callers   netip.AddrPort
 	Directory netip.AddrPort
-	// Seats is how many controllers vote, Found whether this start founds the group of exactly the peers.
-	Seats     int
+	// MaxVoters is how many controllers vote, Found whether this start founds the group of exactly the peers.
+	MaxVoters int
 	Bootstrap bool
 	// Regions holds the region of each availability zone.
 	Regions map[string]string
@@ -182,7 +182,7 @@
 		c.Peers[address.Addr().String()] = netip.AddrPortFrom(address.Addr(), c.Control.Port())
 	}
 	c.Bootstrap = d.Flag(s, "found", false)
-	c.Seats = int(d.Number(s, "seats", defaultSeats, 1, maxControllers))
+	c.MaxVoters = int(d.Number(s, "seats", defaultSeats, 1, maxControllers))
 	if c.Control.IsValid() {
 		c.Name = c.Control.Addr().String()
 	}
@@ -203,8 +203,8 @@
 
 func (c *Config) check(d *parser.Document) {
 	c.defaults()
-	if c.Seats == 0 {
-		c.Seats = len(c.Peers)
+	if c.MaxVoters == 0 {
+		c.MaxVoters = len(c.Peers)
 		c.checkListed(d)
 	}
 	if c.Control == c.Operator && c.Control.IsValid() {
--- a/controller/internal/config/config_test.go
+++ b/controller/internal/config/config_test.go
@@ -78,7 +78,7 @@
 	is.Equal(c.Name, "10.1.0.37")
 	is.Equal(c.Peers["10.2.0.30"].String(), "10.2.0.30:7660")
 	is.True(c.Bootstrap)
-	is.Equal(c.Seats, defaultSeats)
+	is.Equal(c.MaxVoters, defaultSeats)
 	is.Equal(c.Regions["astana-a"], "astana")
 	for old, replacement := range map[string]string{
 		"10.2.0.30:8146": "10.2.0.30", "found = yes": "found = perhaps", "[seeds]": "[seed]",
