--- a/controller/internal/cli/cli.go
+++ b/controller/internal/cli/cli.go
@@ -151,7 +151,7 @@
 		Timing: replicator.Timing{
 			Election:     settings.Election,
 			Heartbeat:    settings.Heartbeat,
-			ReplaceAfter: settings.Replace,
+			ReplaceAfter: settings.ReplaceAfter,
 		},
 		Lease:  settings.Lease,
 		Quotas: settings.Quotas,
--- a/controller/internal/config/config.go
+++ b/controller/internal/config/config.go
@@ -52,11 +52,11 @@
 	// Regions holds the region of each availability zone.
 	Regions map[string]string
 
-	Election  time.Duration
-	Heartbeat time.Duration
-	Replace   time.Duration
-	Lease     time.Duration
-	Patience  time.Duration
+	Election     time.Duration
+	Heartbeat    time.Duration
+	ReplaceAfter time.Duration
+	Lease        time.Duration
+	Patience     time.Duration
 
 	// Quotas say how exact organisations' quotas have to be.
 	Quotas quoter.Tolerance
@@ -130,7 +130,7 @@
 	case "timing":
 		c.Election = d.Duration(s, "election", defaultElection, minElection, maxElection)
 		c.Heartbeat = d.Duration(s, "heartbeat", defaultHeartbeat, time.Millisecond, maxElection)
-		c.Replace = d.Duration(s, "replace", defaultReplace, minElection, time.Hour)
+		c.ReplaceAfter = d.Duration(s, "replace", defaultReplace, minElection, time.Hour)
 		c.Lease = d.Duration(s, "lease", defaultLease, minElection, maxElection)
 		c.Patience = d.Duration(s, "patience", defaultPatience, time.Second, time.Hour)
 	case "quota":
@@ -239,7 +239,7 @@
 	if c.Election == 0 {
 		c.Election = defaultElection
 		c.Heartbeat = defaultHeartbeat
-		c.Replace = defaultReplace
+		c.ReplaceAfter = defaultReplace
 		c.Lease = defaultLease
 		c.Patience = defaultPatience
 	}
