--- a/controller/internal/cli/cli.go
+++ b/controller/internal/cli/cli.go
@@ -170,7 +170,7 @@
 		Consensus: mind, Token: settings.Token, Exchanger: exchange, Changer: change, Allocator: divide,
 	}
 	operator := handlers.Operator()
-	k := &kernel.Kernel{Logger: logs, Patience: settings.Patience, Fatal: fatal}
+	k := &kernel.Kernel{Logger: logs, Patience: settings.StopTimeout, Fatal: fatal}
 	registry.MustRegister(&server.Collector{Summary: mind.Summary})
 	reporter.Mount(operator, registry, k)
 	k.Services = []kernel.Service{
--- a/controller/internal/config/config.go
+++ b/controller/internal/config/config.go
@@ -56,7 +56,7 @@
 	Heartbeat    time.Duration
 	ReplaceAfter time.Duration
 	Lease        time.Duration
-	Patience     time.Duration
+	StopTimeout  time.Duration
 
 	// Quotas say how exact organisations' quotas have to be.
 	Quotas quoter.Tolerance
@@ -132,7 +132,7 @@
 		c.Heartbeat = d.Duration(s, "heartbeat", defaultHeartbeat, time.Millisecond, maxElection)
 		c.ReplaceAfter = d.Duration(s, "replace", defaultReplace, minElection, time.Hour)
 		c.Lease = d.Duration(s, "lease", defaultLease, minElection, maxElection)
-		c.Patience = d.Duration(s, "patience", defaultPatience, time.Second, time.Hour)
+		c.StopTimeout = d.Duration(s, "patience", defaultPatience, time.Second, time.Hour)
 	case "quota":
 		c.Quotas = quoter.Tolerance{
 			Window:  d.Duration(s, "window", defaultWindow, minWindow, time.Minute),
@@ -241,7 +241,7 @@
 		c.Heartbeat = defaultHeartbeat
 		c.ReplaceAfter = defaultReplace
 		c.Lease = defaultLease
-		c.Patience = defaultPatience
+		c.StopTimeout = defaultPatience
 	}
 	if c.Quotas.Window == 0 {
 		c.Quotas.Window = defaultWindow
