--- a/entry/internal/cli/routed.go
+++ b/entry/internal/cli/routed.go
@@ -67,7 +67,7 @@
 		Losses: func(reports []*wire.Loss) { takeLosses(quarantine, reports) },
 	}
 	p.carrier = &dispatcher.Dispatcher{
-		Self: settings.Name, Region: settings.Region, Zone: settings.Zone, Codec: translator.Face{}, Views: p.watcher,
+		Self: settings.Name, Region: settings.Region, Zone: settings.Zone, Codec: translator.Codec{}, Views: p.watcher,
 		Sender: &pooler.Pooler{}, Quarantine: quarantine, Logger: p.logger, Metrics: dispatcher.NewMetrics(p.registry),
 	}
 	p.locator = &locator.Locator{
--- a/entry/internal/dispatcher/dispatcher_test.go
+++ b/entry/internal/dispatcher/dispatcher_test.go
@@ -148,7 +148,7 @@
 		Table: planner.NewTable(plan()), Targets: map[string][]placer.Spec{"listings": specs}, Entries: 1,
 	}
 	c := &Dispatcher{
-		Self: "e1", Locator: alone{}, Quotas: unbounded{}, Region: "r", Zone: "z", Codec: translator.Face{}, Views: seen(view), Sender: s,
+		Self: "e1", Locator: alone{}, Quotas: unbounded{}, Region: "r", Zone: "z", Codec: translator.Codec{}, Views: seen(view), Sender: s,
 		Quarantine: &quarantiner.Quarantiner{Confirm: 3}, Logger: log.NewNopLogger(), Metrics: NewMetrics(prometheus.NewRegistry()),
 	}
 	is.New(t).NoErr(c.Start(context.Background(), nil))
