--- a/entry/internal/dispatcher/organisation_test.go
+++ b/entry/internal/dispatcher/organisation_test.go
@@ -91,7 +91,7 @@
 		{"known on a public route", "/public/1", key(secret), 200, "acme"},
 		{"unknown without a route", "/other/1", key("guess"), 404, ""},
 		{"a forged organisation", "/once/1", http.Header{
-			translator.HeaderSecret: {secret}, translator.HeaderTenant: {"other"},
+			translator.HeaderSecret: {secret}, translator.HeaderOrganisation: {"other"},
 		}, 200, "acme"},
 	}
 	for _, test := range cases {
@@ -103,7 +103,7 @@
 			is.Equal(w.Code, test.status)
 			is.Equal(len(s.sent) == 1, test.status == 200)
 			if test.status == 200 {
-				is.Equal(s.sent[0].Header.Get(translator.HeaderTenant), test.organisation)
+				is.Equal(s.sent[0].Header.Get(translator.HeaderOrganisation), test.organisation)
 				is.Equal(s.sent[0].Header.Get(translator.HeaderSecret), "")
 			}
 		})
