--- a/entry/internal/dispatcher/dispatcher_test.go
+++ b/entry/internal/dispatcher/dispatcher_test.go
@@ -43,7 +43,7 @@
 }
 
 func unrunBy(status int) end {
-	return end{status: status, header: http.Header{translator.HeaderUnrun: {"1"}}}
+	return end{status: status, header: http.Header{translator.HeaderNotRun: {"1"}}}
 }
 
 // targets answers each attempt with the next end of its script.
