--- a/entry/internal/dispatcher/dispatcher_test.go
+++ b/entry/internal/dispatcher/dispatcher_test.go
@@ -72,7 +72,7 @@
 		return nil, e.ending, errors.New("scripted")
 	}
 	header := e.header.Clone()
-	header.Set(translator.HeaderAttempt, r.Header.Get(translator.HeaderAttempt))
+	header.Set(translator.HeaderAttemptID, r.Header.Get(translator.HeaderAttemptID))
 	return &pooler.Answer{Status: e.status, Header: header, Body: []byte("body")}, pooler.Answered, nil
 }
 
@@ -160,7 +160,7 @@
 func ask(c *Dispatcher, method, path string) *httptest.ResponseRecorder {
 	r := httptest.NewRequest(method, "http://h.example"+path, strings.NewReader("in"))
 	r.RequestURI = path
-	r.Header.Set(translator.HeaderAttempt, "a1")
+	r.Header.Set(translator.HeaderAttemptID, "a1")
 	r.Header.Set(translator.HeaderDeadline, "1000")
 	w := httptest.NewRecorder()
 	c.ServeHTTP(w, r)
@@ -246,7 +246,7 @@
 			ctx, cancel := context.WithCancel(context.Background())
 			r := httptest.NewRequestWithContext(ctx, http.MethodPost, "http://h.example"+path, nil)
 			r.RequestURI = path
-			r.Header.Set(translator.HeaderAttempt, "a1")
+			r.Header.Set(translator.HeaderAttemptID, "a1")
 			time.AfterFunc(30*time.Millisecond, cancel)
 			started := time.Now()
 			c.ServeHTTP(httptest.NewRecorder(), r)
--- a/entry/internal/dispatcher/organisation_test.go
+++ b/entry/internal/dispatcher/organisation_test.go
@@ -62,7 +62,7 @@
 	r := httptest.NewRequest(http.MethodPost, "http://h.example"+path, strings.NewReader("in"))
 	r.RequestURI = path
 	r.Header = header.Clone()
-	r.Header.Set(translator.HeaderAttempt, "a1")
+	r.Header.Set(translator.HeaderAttemptID, "a1")
 	r.Header.Set(translator.HeaderDeadline, "1000")
 	w := httptest.NewRecorder()
 	c.ServeHTTP(w, r)
