--- a/controller/internal/cli/cli.go
+++ b/controller/internal/cli/cli.go
@@ -188,7 +188,7 @@
 			Logger:  logs,
 		},
 	}
-	k.Services = append(k.Services, faces(settings, &translator.Operator{
+	k.Services = append(k.Services, faces(settings, &translator.Handler{
 		Changer: change, Registry: exchange, Selector: &selector.Selector{InstanceLister: exchange},
 		Regions: settings.Regions, Logger: logs,
 	})...)
@@ -196,7 +196,7 @@
 }
 
 // faces are the listeners that speak the users' platform's language, where the settings name any.
-func faces(settings *config.Config, face *translator.Operator) []kernel.Service {
+func faces(settings *config.Config, face *translator.Handler) []kernel.Service {
 	var out []kernel.Service
 	for title, address := range map[string]netip.AddrPort{"callers": settings.Callers, "directory": settings.Directory} {
 		if address.IsValid() {
