--- a/standin/internal/soaker/faults.go
+++ b/standin/internal/soaker/faults.go
@@ -36,7 +36,7 @@
 	t := &standing{relay: relay, Target: &speaker.Target{
 		ID: fmt.Sprintf("t%d", s.started), Service: service, Zone: s.system.Places[s.started%len(s.system.Places)].Zone,
 		Slots: 3, Work: targetWork, Controllers: s.system.PlatformURLs(),
-		Through: func(address string) (string, error) {
+		MapAddress: func(address string) (string, error) {
 			relay.Target = address
 			return relay.Start("127.0.0.1")
 		},
