--- a/standin/internal/soaker/witness.go
+++ b/standin/internal/soaker/witness.go
@@ -149,7 +149,7 @@
 		}
 	}
 	for _, d := range w.left {
-		late := d.target.Last().Sub(d.at)
+		late := d.target.LastRequest().Sub(d.at)
 		if late > drainTime+drainSlack && !d.excuse {
 			w.note("%s got a request %s after its leaving was acknowledged", d.target.ID, late)
 		}
--- a/standin/internal/trials/platform_test.go
+++ b/standin/internal/trials/platform_test.go
@@ -148,7 +148,7 @@
 		is.NoErr(err)
 		time.Sleep(3 * time.Second)
 		f.check(t, stop())
-		is.True(f.targets[0].Last().Sub(acked) < 2500*time.Millisecond)
+		is.True(f.targets[0].LastRequest().Sub(acked) < 2500*time.Millisecond)
 	})
 	t.Run("a zone is emptied and taken back", func(t *testing.T) {
 		is := is.New(t)
@@ -157,9 +157,9 @@
 		is.Equal(f.operator.Evacuate(ctx, zone, true), http.StatusOK)
 		acked := time.Now()
 		time.Sleep(2 * time.Second)
-		is.True(f.targets[1].Last().Sub(acked) < time.Second)
+		is.True(f.targets[1].LastRequest().Sub(acked) < time.Second)
 		is.Equal(f.operator.Evacuate(ctx, zone, false), http.StatusOK)
-		until(t, "the emptied zone is used again", func() bool { return f.targets[1].Last().After(acked.Add(2 * time.Second)) })
+		until(t, "the emptied zone is used again", func() bool { return f.targets[1].LastRequest().After(acked.Add(2 * time.Second)) })
 		f.check(t, stop())
 	})
 	t.Run("entry instances are stopped and reloaded in turn", func(t *testing.T) {
