--- a/standin/internal/soaker/soaker.go
+++ b/standin/internal/soaker/soaker.go
@@ -98,7 +98,7 @@
 	operator := s.operator()
 	c := s.client(0)
 	for deadline := time.Now().Add(startTime); time.Now().Before(deadline); time.Sleep(callerPause) {
-		if operator.Put(ctx, speaker.Plan(1, 0, service)) == http.StatusOK && c.Send(ctx, http.MethodGet, "/safe/0", "k", "").Whole {
+		if operator.Put(ctx, speaker.Plan(1, 0, service)) == http.StatusOK && c.Send(ctx, http.MethodGet, "/safe/0", "k", "").Complete {
 			s.witness.acked = 1
 			return nil
 		}
@@ -162,7 +162,7 @@
 	deadline := time.Now().Add(settleTime)
 	for i := range callers {
 		c := s.client(callers + 1 + i)
-		for !c.Send(ctx, http.MethodGet, "/safe/1", "k", "").Whole {
+		for !c.Send(ctx, http.MethodGet, "/safe/1", "k", "").Complete {
 			if time.Now().After(deadline) {
 				s.witness.fail("not served %s after the last fault: caller %d", settleTime, i)
 				return
--- a/standin/internal/soaker/witness.go
+++ b/standin/internal/soaker/witness.go
@@ -70,11 +70,11 @@
 	case http.StatusNotFound, http.StatusBadRequest:
 		w.note("%s was denied with %d", a.ID, a.Status)
 	case http.StatusOK:
-		if a.Err == nil && !a.Whole {
+		if a.Err == nil && !a.Complete {
 			w.note("%s got a success that no target signed", a.ID)
 		}
 	}
-	if !a.Whole {
+	if !a.Complete {
 		return
 	}
 	w.whole++
--- a/standin/internal/trials/platform_test.go
+++ b/standin/internal/trials/platform_test.go
@@ -46,7 +46,9 @@
 	until(t, "the first plan is in force", func() bool {
 		return f.operator.Put(context.Background(), speaker.Plan(1, 0, service)) == http.StatusOK
 	})
-	until(t, "a request is served", func() bool { return f.client(0).Send(context.Background(), http.MethodGet, "/safe/1", "k", "").Whole })
+	until(t, "a request is served", func() bool {
+		return f.client(0).Send(context.Background(), http.MethodGet, "/safe/1", "k", "").Complete
+	})
 	return f
 }
 
@@ -100,7 +102,7 @@
 	t.Helper()
 	is := is.New(t)
 	for _, a := range answers {
-		if !a.Whole {
+		if !a.Complete {
 			t.Errorf("%s ended with %d %q: %v", a.ID, a.Status, a.Body, a.Err)
 		}
 	}
@@ -221,7 +223,7 @@
 	f.checkOnce(t)
 	whole := 0
 	for _, a := range answers {
-		if a.Whole {
+		if a.Complete {
 			whole++
 		}
 		if a.Status == http.StatusServiceUnavailable {
