--- a/standin/internal/soaker/soaker.go
+++ b/standin/internal/soaker/soaker.go
@@ -127,7 +127,7 @@
 		}
 		a := c.Send(context.WithoutCancel(ctx), method, path, fmt.Sprint(n%11), "body")
 		s.witness.answered(a, method, path)
-		time.Sleep(max(callerPause, min(a.Retry, time.Second)))
+		time.Sleep(max(callerPause, min(a.RetryAfter, time.Second)))
 	}
 }
 
