--- a/controller/internal/exchanger/submit.go
+++ b/controller/internal/exchanger/submit.go
@@ -23,8 +23,8 @@
 	return response.Msg.GetResult(), nil
 }
 
-// PassQuota sends a question for parts of quotas to the leading controller.
-func (x *Exchanger) PassQuota(ctx context.Context, r *wire.AllotRequest) (*wire.AllotResponse, error) {
+// ForwardAllot sends a question for parts of quotas to the leading controller.
+func (x *Exchanger) ForwardAllot(ctx context.Context, r *wire.AllotRequest) (*wire.AllotResponse, error) {
 	client, err := x.leader()
 	if err != nil {
 		return nil, err
