--- a/controller/internal/selector/selector.go
+++ b/controller/internal/selector/selector.go
@@ -20,7 +20,7 @@
 
 // InstanceLister lists the entry instances heard lately.
 type InstanceLister interface {
-	Entries() []*wire.Seen
+	EntryInstances() []*wire.Seen
 }
 
 // Selector answers clients. Set the exported fields before use.
@@ -31,7 +31,7 @@
 // Steer returns the entry instances for a client of a region and availability zone, and until when that holds.
 func (s *Selector) Steer(client netip.Addr, region, _ string, now time.Time) ([]netip.AddrPort, time.Time) {
 	var near, all group
-	for _, seen := range s.InstanceLister.Entries() {
+	for _, seen := range s.InstanceLister.EntryInstances() {
 		n := seen.GetNode()
 		address, err := netip.ParseAddrPort(n.GetCaller())
 		if err != nil || n.GetLeaving() && !n.GetStarting() {
--- a/controller/internal/selector/selector_test.go
+++ b/controller/internal/selector/selector_test.go
@@ -13,7 +13,7 @@
 
 type sightings []*wire.Seen
 
-func (s sightings) Entries() []*wire.Seen { return s }
+func (s sightings) EntryInstances() []*wire.Seen { return s }
 
 func entries(region string, count int) sightings {
 	var out sightings
