--- a/controller/internal/exchanger/watch.go
+++ b/controller/internal/exchanger/watch.go
@@ -115,8 +115,8 @@
 	return connect.NewResponse(&wire.TellResponse{}), nil
 }
 
-// Entries returns the entry instances heard lately by any controller in touch.
-func (x *Exchanger) Entries() []*wire.Seen {
+// EntryInstances returns the entry instances heard lately by any controller in touch.
+func (x *Exchanger) EntryInstances() []*wire.Seen {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return x.gossip.Instances(time.Now())
