--- a/controller/internal/cli/cli.go
+++ b/controller/internal/cli/cli.go
@@ -163,7 +163,7 @@
 		Self: settings.Name, Region: settings.Region, Consensus: mind, Dialer: &dialer.Dialer{Keys: controlKeys, Plain: true},
 		HostStore: &storer.Hosts{Folder: settings.Folder}, Logger: logs,
 	}
-	mind.OnRoutingChange = exchange.Wake
+	mind.OnRoutingChange = exchange.NotifyWatchers
 	change := &changer.Changer{Consensus: mind, Forwarder: exchange, Logger: logs}
 	divide := &allocator.Allocator{Consensus: mind, Forwarder: exchange, Logger: logs}
 	handlers := &server.Server{
--- a/controller/internal/exchanger/exchanger.go
+++ b/controller/internal/exchanger/exchanger.go
@@ -110,8 +110,8 @@
 	return nil
 }
 
-// Wake tells watchers that the routing state has changed.
-func (x *Exchanger) Wake() {
+// NotifyWatchers tells watchers that the routing state has changed.
+func (x *Exchanger) NotifyWatchers() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.wake()
