--- a/controller/internal/selector/selector.go
+++ b/controller/internal/selector/selector.go
@@ -28,8 +28,8 @@
 	InstanceLister InstanceLister
 }
 
-// Steer returns the entry instances for a client of a region and availability zone, and until when that holds.
-func (s *Selector) Steer(client netip.Addr, region, _ string, now time.Time) ([]netip.AddrPort, time.Time) {
+// Select returns the entry instances for a client of a region and availability zone, and until when that holds.
+func (s *Selector) Select(client netip.Addr, region, _ string, now time.Time) ([]netip.AddrPort, time.Time) {
 	var near, all group
 	for _, seen := range s.InstanceLister.EntryInstances() {
 		n := seen.GetNode()
--- a/controller/internal/selector/selector_test.go
+++ b/controller/internal/selector/selector_test.go
@@ -30,7 +30,7 @@
 	out := map[netip.AddrPort]int{}
 	for i := range clients {
 		client := netip.AddrFrom4([4]byte{10, 9, byte(i / 250), byte(i % 250)})
-		found, _ := s.Steer(client, region, "", time.Unix(1000, 0))
+		found, _ := s.Select(client, region, "", time.Unix(1000, 0))
 		for _, a := range found {
 			out[a]++
 		}
