--- a/controller/internal/changer/changer.go
+++ b/controller/internal/changer/changer.go
@@ -28,7 +28,7 @@
 
 // Forwarder sends commands to the leader.
 type Forwarder interface {
-	Pass(ctx context.Context, command *wire.Command) (*wire.Result, error)
+	Forward(ctx context.Context, command *wire.Command) (*wire.Result, error)
 }
 
 // Changer serves operators. Set the exported fields before use.
@@ -83,7 +83,7 @@
 	result, err := c.Consensus.Propose(ctx, command)
 	var leader *consenter.NotLeaderError
 	if errors.As(err, &leader) {
-		result, err = c.Forwarder.Pass(ctx, command)
+		result, err = c.Forwarder.Forward(ctx, command)
 	}
 	if err != nil {
 		_ = level.Warn(c.Logger).Log("msg", "command not answered", "command", what, "err", err)
--- a/controller/internal/exchanger/submit.go
+++ b/controller/internal/exchanger/submit.go
@@ -10,8 +10,8 @@
 	"chervilrail.example/core/wire/wireconnect"
 )
 
-// Pass sends a command to the leading controller. After an error the command may or may not have run.
-func (x *Exchanger) Pass(ctx context.Context, command *wire.Command) (*wire.Result, error) {
+// Forward sends a command to the leading controller. After an error the command may or may not have run.
+func (x *Exchanger) Forward(ctx context.Context, command *wire.Command) (*wire.Result, error) {
 	client, err := x.leader()
 	if err != nil {
 		return nil, err
