--- a/controller/internal/cli/cli.go
+++ b/controller/internal/cli/cli.go
@@ -188,7 +188,7 @@
 			Logger:  logs,
 		},
 	}
-	k.Services = append(k.Services, faces(settings, &translator.Handler{
+	k.Services = append(k.Services, faces(settings, &translator.PlatformHandler{
 		Changer: change, Registry: exchange, Selector: &selector.Selector{InstanceLister: exchange},
 		Regions: settings.Regions, Logger: logs,
 	})...)
@@ -196,7 +196,7 @@
 }
 
 // faces are the listeners that speak the users' platform's language, where the settings name any.
-func faces(settings *config.Config, face *translator.Handler) []kernel.Service {
+func faces(settings *config.Config, face *translator.PlatformHandler) []kernel.Service {
 	var out []kernel.Service
 	for title, address := range map[string]netip.AddrPort{"callers": settings.Callers, "directory": settings.Directory} {
 		if address.IsValid() {
