--- a/controller/internal/cli/cli.go
+++ b/controller/internal/cli/cli.go
@@ -189,7 +189,7 @@
 		},
 	}
 	k.Services = append(k.Services, faces(settings, &translator.PlatformHandler{
-		Changer: change, Registry: exchange, Selector: &selector.Selector{InstanceLister: exchange},
+		Changer: change, TargetRegistry: exchange, Selector: &selector.Selector{InstanceLister: exchange},
 		Regions: settings.Regions, Logger: logs,
 	})...)
 	return k, closeLog
