--- a/controller/internal/exchanger/announcements.go
+++ b/controller/internal/exchanger/announcements.go
@@ -11,21 +11,26 @@
 	"chervilrail.example/core/wire"
 )
 
-// Announce takes a target's announcement. That a target leaves is acknowledged only once most voters hold it:
-// told to this controller alone it would be forgotten if this one is cut off the next moment, and requests would go
-// on to reach a target that was told it gets none.
+// Announce accepts a target's announcement and shares it with the other controllers. An announcement that the target
+// is leaving returns without an error only once a majority of the voters have acknowledged it. If only this controller
+// had it and were then disconnected, the others would go on sending requests to a target that expects none.
+//
+// It returns an error of registrar.CheckForm for a malformed record, a NotJoinedError before this controller has joined
+// the group, and a NoQuorumError if a leaving target is not acknowledged in time.
 func (x *Exchanger) Announce(ctx context.Context, r *wire.Record) error {
 	if err := registrar.CheckForm(r); err != nil {
 		return err
 	}
-	// With nobody to pass it on to, the announcement would be lost: the target asks another controller.
+	// With no members to pass it on to, the announcement would be lost. After the error the target tries another
+	// controller.
 	if len(x.Consensus.Routing().Members) == 0 {
-		return &UnjoinedError{}
+		return &NotJoinedError{}
 	}
-	return x.take(ctx, r)
+	return x.accept(ctx, r)
 }
 
-func (x *Exchanger) take(ctx context.Context, r *wire.Record) error {
+// accept records an announcement and, unless the target is ready, waits for a majority of the voters to acknowledge it.
+func (x *Exchanger) accept(ctx context.Context, r *wire.Record) error {
 	var counter uint64
 	x.update(func(now time.Time) {
 		old, known := x.gossip.Target(r.GetName())
@@ -39,12 +44,13 @@
 	if r.GetState() == wire.TargetState_TARGET_READY {
 		return nil
 	}
-	return x.bind(ctx, r.GetName(), counter)
+	return x.awaitQuorum(ctx, r.GetName(), counter)
 }
 
-// Leave takes a target's word that it ends. An incarnation of zero means the one known here. Of a target that is not
-// known here nothing could be told to the others that would ward off its delayed announcements, unless it names its
-// incarnation; so the word is not taken, and the target asks elsewhere.
+// Leave records that a target has ended. An incarnation of zero stands for the one known here. If the target is unknown
+// and names no incarnation, Leave returns an UnknownTargetError, and the target tries another controller: without an
+// incarnation, the record could not override delayed announcements of the target. A leave of an incarnation older than
+// the known one is ignored. Other errors are those of Announce for a leaving target.
 func (x *Exchanger) Leave(ctx context.Context, name string, incarnation uint64) error {
 	x.mu.Lock()
 	record, known := x.gossip.Target(name)
@@ -55,33 +61,33 @@
 	if known && incarnation != 0 && incarnation < record.GetIncarnation() {
 		return nil
 	}
-	gone := &wire.Record{Name: name}
+	departed := &wire.Record{Name: name}
 	if known {
-		gone = proto.CloneOf(record)
+		departed = proto.CloneOf(record)
 	}
-	gone.State = wire.TargetState_TARGET_GONE
-	gone.Incarnation = max(gone.GetIncarnation(), incarnation)
-	return x.take(ctx, gone)
+	departed.State = wire.TargetState_TARGET_GONE
+	departed.Incarnation = max(departed.GetIncarnation(), incarnation)
+	return x.accept(ctx, departed)
 }
 
-// bind waits until most voters hold a change.
-func (x *Exchanger) bind(ctx context.Context, target string, counter uint64) error {
-	ctx, cancel := context.WithTimeout(ctx, bindTimeout)
+// awaitQuorum waits until a majority of the voters have acknowledged everything up to a counter of the gossip state.
+func (x *Exchanger) awaitQuorum(ctx context.Context, target string, counter uint64) error {
+	ctx, cancel := context.WithTimeout(ctx, quorumTimeout)
 	defer cancel()
 	for {
 		voters := x.Consensus.Routing().Voters()
 		x.mu.Lock()
-		bound := most(voters, func(name string) bool { return x.gossip.HasAcknowledged(name, counter) })
-		news := x.news
+		acknowledged := majority(voters, func(name string) bool { return x.gossip.HasAcknowledged(name, counter) })
+		changed := x.changed
 		x.mu.Unlock()
-		if bound {
+		if acknowledged {
 			return nil
 		}
 		select {
-		case <-news:
+		case <-changed:
 		case <-ctx.Done():
-			_ = level.Warn(x.Logger).Log("msg", "leaving not acknowledged", "target", target, "counter", counter)
-			return &UnlinkedError{}
+			_ = level.Warn(x.Logger).Log("msg", "leaving target not acknowledged by a majority", "target", target, "counter", counter)
+			return &NoQuorumError{}
 		}
 	}
 }
--- a/controller/internal/exchanger/errors.go
+++ b/controller/internal/exchanger/errors.go
@@ -1,24 +1,24 @@
 package exchanger
 
-// UnlinkedError says that this controller can't reach most of the voters.
-type UnlinkedError struct{}
+// NoQuorumError reports that this controller can't reach a majority of the voters.
+type NoQuorumError struct{}
 
 // Error implements error.
-func (*UnlinkedError) Error() string { return "most controllers can't be reached" }
+func (*NoQuorumError) Error() string { return "most controllers can't be reached" }
 
-// UnjoinedError says that this controller is not in the group yet, and knows no other one.
-type UnjoinedError struct{}
+// NotJoinedError reports that this controller has not joined the group yet and knows no other member.
+type NotJoinedError struct{}
 
 // Error implements error.
-func (*UnjoinedError) Error() string { return "this controller has not joined the others yet" }
+func (*NotJoinedError) Error() string { return "this controller has not joined the others yet" }
 
-// LeaderlessError says that no leading controller is known here.
-type LeaderlessError struct{}
+// NoLeaderError reports that this controller knows of no leader.
+type NoLeaderError struct{}
 
 // Error implements error.
-func (*LeaderlessError) Error() string { return "no leading controller is known" }
+func (*NoLeaderError) Error() string { return "no leading controller is known" }
 
-// UnknownTargetError says that a leaving target is not known here yet, while it may be elsewhere.
+// UnknownTargetError reports that a leaving target is not known to this controller. Another one may know it.
 type UnknownTargetError struct {
 	Target string
 }
--- a/controller/internal/exchanger/exchanger.go
+++ b/controller/internal/exchanger/exchanger.go
@@ -1,5 +1,5 @@
-// Package exchanger is the service that shares announcements of targets and sightings of entry instances with the
-// other controllers, and tells entry instances what is new.
+// Package exchanger is the service that shares announcements of targets and observations of entry instances with the
+// other controllers, and publishes changes to entry instances.
 package exchanger
 
 import (
@@ -23,16 +23,18 @@
 )
 
 const (
-	// callTimeout bounds one exchange: the longest round trip between regions and a retransmission fit.
+	// callTimeout bounds one exchange. It covers the longest round trip between regions and a retransmission.
 	callTimeout = time.Second
-	// watchHold is how long a watcher waits for news. It is also how often an entry instance is heard.
-	watchHold = time.Second
-	// bindTimeout is how long a leaving target waits for most controllers; it asks elsewhere after a second.
-	bindTimeout = 900 * time.Millisecond
-	tickEvery   = 200 * time.Millisecond
+	// watchTimeout is how long a watch call waits for changes. Since each call reports its entry instance, it is also
+	// the interval at which instances are observed.
+	watchTimeout = time.Second
+	// quorumTimeout is how long an announcement of a leaving target waits for a majority. It is below the second after
+	// which the target tries another controller.
+	quorumTimeout = 900 * time.Millisecond
+	tickInterval  = 200 * time.Millisecond
 )
 
-// Consensus gives the replicated routing state.
+// Consensus provides the replicated routing state.
 type Consensus interface {
 	Routing() *consenter.Routing
 }
@@ -43,19 +45,20 @@
 	Region    string
 	Consensus Consensus
 	Dialer    *dialer.Dialer
-	// HostStore keeps the hosts of objects over restarts; nil keeps none.
+	// HostStore keeps the hosts of objects across restarts. If it is nil, they are not stored.
 	HostStore HostStore
 	Logger    log.Logger
 
-	mu     sync.Mutex
-	gossip gossiper.Gossiper
-	news   chan struct{}
-	peers  map[string]*link
-	// wasLinked is what watchers were last told.
-	wasLinked bool
-	// hostsTold is the count of hosts that watchers were last woken for; hostsSoon: they will be in a while.
-	hostsTold uint64
-	hostsSoon bool
+	mu      sync.Mutex
+	gossip  gossiper.Gossiper
+	changed chan struct{}
+	peers   map[string]*peer
+	// hadQuorum is the result of hasQuorum that watchers were last notified of.
+	hadQuorum bool
+	// notifiedHosts is the gossip state's counter of hosts at the last notification about hosts. hostsPending is set
+	// while another one is scheduled.
+	notifiedHosts uint64
+	hostsPending  bool
 
 	client *http.Client
 	ctx    context.Context
@@ -63,16 +66,16 @@
 	group  sync.WaitGroup
 }
 
-// link is the way to one other controller.
-type link struct {
-	kick   chan struct{}
-	cancel context.CancelFunc
+// peer is the connection to one other controller. A value in trigger starts an exchange at once.
+type peer struct {
+	trigger chan struct{}
+	cancel  context.CancelFunc
 }
 
 // Name implements kernel.Service.
 func (x *Exchanger) Name() string { return "exchange" }
 
-// Start begins to exchange.
+// Start loads the stored hosts and begins to exchange. It returns an error if the HTTP client can't be created.
 func (x *Exchanger) Start(context.Context, kernel.Finder) error {
 	client, err := x.Dialer.Client()
 	if err != nil {
@@ -81,18 +84,18 @@
 	x.client = client
 	x.gossip.Self, x.gossip.Region = x.Self, x.Region
 	x.gossip.Run = rand.Uint64() | 1
-	x.news = make(chan struct{})
-	x.peers = map[string]*link{}
+	x.changed = make(chan struct{})
+	x.peers = map[string]*peer{}
 	x.ctx, x.cancel = context.WithCancel(context.Background())
-	x.group.Go(x.keep)
-	x.remember()
+	x.group.Go(x.maintain)
+	x.loadHosts()
 	if x.HostStore != nil {
-		x.group.Go(x.save)
+		x.group.Go(x.saveHosts)
 	}
 	return nil
 }
 
-// Stop ends all exchanges.
+// Stop ends all exchanges and watch calls.
 func (x *Exchanger) Stop(context.Context) error {
 	if x.cancel != nil {
 		x.cancel()
@@ -102,36 +105,37 @@
 	return nil
 }
 
-// Health implements kernel.Service.
+// Health implements kernel.Service. It returns a NoQuorumError while a majority of the voters can't be reached.
 func (x *Exchanger) Health() error {
-	if !x.linked(time.Now()) {
-		return &UnlinkedError{}
+	if !x.hasQuorum(time.Now()) {
+		return &NoQuorumError{}
 	}
 	return nil
 }
 
-// NotifyWatchers tells watchers that the routing state has changed.
+// NotifyWatchers makes all watch calls in progress look for changes, for example after the routing state has changed.
 func (x *Exchanger) NotifyWatchers() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.wake()
+	x.notifyWatchers()
 }
 
-func (x *Exchanger) wake() {
-	if x.news != nil {
-		close(x.news)
-		x.news = make(chan struct{})
+// notifyWatchers closes the channel that watch calls wait on and replaces it. The caller holds the lock.
+func (x *Exchanger) notifyWatchers() {
+	if x.changed != nil {
+		close(x.changed)
+		x.changed = make(chan struct{})
 	}
 }
 
-// keep drops what has timed out and follows the membership.
-func (x *Exchanger) keep() {
-	ticker := time.NewTicker(tickEvery)
+// maintain periodically updates the peers from the membership, removes what has expired and checks the quorum.
+func (x *Exchanger) maintain() {
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
-		x.follow()
+		x.updatePeers()
 		x.update(func(now time.Time) { x.gossip.Tick(now) })
-		x.noticeLink(time.Now())
+		x.checkQuorum(time.Now())
 		select {
 		case <-x.ctx.Done():
 			return
@@ -140,41 +144,42 @@
 	}
 }
 
-// noticeLink wakes the watchers when this controller loses touch with most of the others, so that they turn to another
-// one at once: what is decided there meanwhile, such as that a target leaves, binds them.
-func (x *Exchanger) noticeLink(now time.Time) {
-	linked := x.linked(now)
+// checkQuorum notifies watchers when this controller loses or regains the majority. Without it, this controller misses
+// decisions that bind its watchers too, such as that a target leaves; so they switch to another controller at once.
+func (x *Exchanger) checkQuorum(now time.Time) {
+	hasQuorum := x.hasQuorum(now)
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if linked == x.wasLinked {
+	if hasQuorum == x.hadQuorum {
 		return
 	}
-	x.wasLinked = linked
-	_ = level.Warn(x.Logger).Log("msg", "link to most controllers", "linked", linked)
-	x.wake()
+	x.hadQuorum = hasQuorum
+	_ = level.Warn(x.Logger).Log("msg", "link to most controllers", "linked", hasQuorum)
+	x.notifyWatchers()
 }
 
-// update changes the picture and tells watchers and peers if that made news.
+// update applies a change to the gossip state, and notifies watchers and peers if the state's counter has advanced.
 func (x *Exchanger) update(change func(now time.Time)) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	before := x.gossip.Counter()
 	change(time.Now())
-	x.noticeHosts()
+	x.scheduleHostsNotification()
 	if x.gossip.Counter() == before {
 		return
 	}
-	x.wake()
-	for _, l := range x.peers {
+	x.notifyWatchers()
+	for _, p := range x.peers {
 		select {
-		case l.kick <- struct{}{}:
+		case p.trigger <- struct{}{}:
 		default:
 		}
 	}
 }
 
-// follow keeps one link to every other member of the group.
-func (x *Exchanger) follow() {
+// updatePeers starts an exchange loop for each new member of the group other than this controller, and ends the loops
+// of members that were removed.
+func (x *Exchanger) updatePeers() {
 	members := x.Consensus.Routing().Members
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -187,21 +192,22 @@
 		present[m.GetName()] = true
 		if _, ok := x.peers[m.GetName()]; !ok {
 			ctx, cancel := context.WithCancel(x.ctx)
-			l := &link{make(chan struct{}, 1), cancel}
-			x.peers[m.GetName()] = l
-			x.group.Go(func() { x.talk(ctx, m.GetName(), address, l) })
+			p := &peer{make(chan struct{}, 1), cancel}
+			x.peers[m.GetName()] = p
+			x.group.Go(func() { x.exchangeLoop(ctx, m.GetName(), address, p) })
 		}
 	}
-	for name, l := range x.peers {
+	for name, p := range x.peers {
 		if !present[name] {
-			l.cancel()
+			p.cancel()
 			delete(x.peers, name)
 		}
 	}
 }
 
-// talk exchanges with one controller, at once when there is news and else once a period.
-func (x *Exchanger) talk(ctx context.Context, name string, address netip.AddrPort, l *link) {
+// exchangeLoop exchanges with one controller, at once when triggered and otherwise once a period. After a failed
+// exchange it always waits for the period.
+func (x *Exchanger) exchangeLoop(ctx context.Context, name string, address netip.AddrPort, p *peer) {
 	client := wireconnect.NewExchangeClient(x.client, x.Dialer.URL(address))
 	reachable := true
 	for ctx.Err() == nil {
@@ -213,7 +219,7 @@
 		timer := time.NewTimer(gossiper.Period)
 		select {
 		case <-ctx.Done():
-		case <-l.kick:
+		case <-p.trigger:
 			if err != nil {
 				<-timer.C
 			}
@@ -223,6 +229,7 @@
 	}
 }
 
+// exchange makes one exchange with another controller.
 func (x *Exchanger) exchange(ctx context.Context, client wireconnect.ExchangeClient, name string) error {
 	sent := time.Now()
 	x.mu.Lock()
@@ -238,12 +245,12 @@
 	defer x.mu.Unlock()
 	x.gossip.HandleResponse(sent, name, response.Msg)
 	if len(request.GetRecords()) > 0 {
-		x.wake()
+		x.notifyWatchers()
 	}
 	return nil
 }
 
-// Exchange implements the service between controllers.
+// Exchange implements the call from other controllers.
 func (x *Exchanger) Exchange(
 	_ context.Context, r *connect.Request[wire.ExchangeRequest],
 ) (*connect.Response[wire.ExchangeResponse], error) {
@@ -252,15 +259,16 @@
 	return connect.NewResponse(response), nil
 }
 
-// linked reports whether this controller lately reached most of the voters.
-func (x *Exchanger) linked(now time.Time) bool {
+// hasQuorum reports whether this controller has recently reached a majority of the voters.
+func (x *Exchanger) hasQuorum(now time.Time) bool {
 	voters := x.Consensus.Routing().Voters()
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return most(voters, func(name string) bool { return x.gossip.Reachable(now, name) })
+	return majority(voters, func(name string) bool { return x.gossip.Reachable(now, name) })
 }
 
-func most(voters []string, holds func(name string) bool) bool {
+// majority reports whether a condition holds for more than half of the voters.
+func majority(voters []string, holds func(name string) bool) bool {
 	n := 0
 	for _, name := range voters {
 		if holds(name) {
--- a/controller/internal/exchanger/exchanger_test.go
+++ b/controller/internal/exchanger/exchanger_test.go
@@ -18,10 +18,10 @@
 	"chervilrail.example/core/wire"
 )
 
-// mind is a group whose other members never answer.
-type mind struct{ voters []string }
+// consensus is a group whose other members never answer.
+type consensus struct{ voters []string }
 
-func (m mind) Routing() *consenter.Routing {
+func (m consensus) Routing() *consenter.Routing {
 	plan := &wire.Plan{Version: 1, Organisations: []*wire.Organisation{{Name: "acme", Keys: []string{"s3cret"}}}}
 	out := &consenter.Routing{Revision: 1, Plan: plan, PlanWithoutKeys: planner.Seal(plan)}
 	for _, name := range m.voters {
@@ -30,9 +30,9 @@
 	return out
 }
 
-func begin(t *testing.T, voters ...string) *Exchanger {
+func startExchanger(t *testing.T, voters ...string) *Exchanger {
 	t.Helper()
-	x := &Exchanger{Self: "c1", Consensus: mind{voters}, Dialer: &dialer.Dialer{Plain: true}, Logger: log.NewNopLogger()}
+	x := &Exchanger{Self: "c1", Consensus: consensus{voters}, Dialer: &dialer.Dialer{Plain: true}, Logger: log.NewNopLogger()}
 	is.New(t).NoErr(x.Start(context.Background(), nil))
 	t.Cleanup(func() { is.New(t).NoErr(x.Stop(context.Background())) })
 	return x
@@ -45,12 +45,11 @@
 	}
 }
 
-// A target has announced itself to a controller that is cut off, and leaves by another one, which has never heard
-// of it. Acknowledged there, its own delayed announcement would bring it back into use seconds later, with nothing
-// to show that it has left.
-func TestLeavingOfAnUnknownTargetIsNotAcknowledged(t *testing.T) {
+// A target announces itself to a controller that is then disconnected, and leaves through another one that does not
+// know it. If the leave were acknowledged there, the target's delayed announcement would bring it back into use.
+func TestLeaveOfUnknownTargetIsRefused(t *testing.T) {
 	is := is.New(t)
-	x := begin(t, "c1")
+	x := startExchanger(t, "c1")
 	var unknown *UnknownTargetError
 	is.True(errors.As(x.Leave(context.Background(), "t1", 0), &unknown))
 	is.NoErr(x.Announce(context.Background(), announcement(1, wire.TargetState_TARGET_READY)))
@@ -59,11 +58,11 @@
 	is.Equal(record.GetState(), wire.TargetState_TARGET_GONE)
 }
 
-// Guards against keys on entry instances, which need only recognise them.
-func TestEntryInstancesGetNoKeys(t *testing.T) {
+// Guards against sending keys to entry instances, which only need to recognise them.
+func TestWatchResponseOmitsKeys(t *testing.T) {
 	is := is.New(t)
-	x := begin(t, "c1")
-	response, fresh := x.answer(time.Now(), &wire.WatchRequest{})
+	x := startExchanger(t, "c1")
+	response, fresh := x.buildResponse(time.Now(), &wire.WatchRequest{})
 	is.True(fresh)
 	data, err := proto.Marshal(response)
 	is.NoErr(err)
@@ -71,44 +70,44 @@
 	is.True(!strings.Contains(string(data), "s3cret"))
 }
 
-// The same target says which of its runs leaves. That is enough to ward off the delayed announcement.
-func TestLeavingOfAnUnknownTargetThatNamesItsRun(t *testing.T) {
+// A leave that names the target's incarnation is enough to override the delayed announcement.
+func TestLeaveOfUnknownTargetWithIncarnation(t *testing.T) {
 	is := is.New(t)
-	x := begin(t, "c1")
+	x := startExchanger(t, "c1")
 	is.NoErr(x.Leave(context.Background(), "t1", 5))
 	is.NoErr(x.Announce(context.Background(), announcement(1, wire.TargetState_TARGET_READY)))
 	record, _ := x.gossip.Target("t1")
 	is.Equal(record.GetState(), wire.TargetState_TARGET_GONE)
 }
 
-// A controller that is cut off from the others takes a target's word that it leaves. The others would go on to use
-// the target, so the word is not acknowledged, and the target turns to another controller.
-func TestLeavingBindsOnlyWithMostVoters(t *testing.T) {
+// A target leaves through a controller that can't reach the others. They would go on using the target, so the leave is
+// not acknowledged, and the target tries another controller.
+func TestLeaveNeedsQuorum(t *testing.T) {
 	is := is.New(t)
-	x := begin(t, "c1", "c2", "c3")
+	x := startExchanger(t, "c1", "c2", "c3")
 	is.NoErr(x.Announce(context.Background(), announcement(1, wire.TargetState_TARGET_READY)))
-	var unlinked *UnlinkedError
+	var noQuorum *NoQuorumError
 	err := x.Announce(context.Background(), announcement(2, wire.TargetState_TARGET_LEAVING))
-	is.True(errors.As(err, &unlinked))
+	is.True(errors.As(err, &noQuorum))
 }
 
-// A controller comes back with an empty disk and waits for seconds to be taken into the group; until then it knows no other
-// controller to pass anything on to. A target whose announcement it took would be seen by nobody after a restart of all, and
-// its objects' requests would be refused for as long.
-func TestControllerWithoutAGroupTakesNoAnnouncements(t *testing.T) {
+// A controller that restarts with an empty disk takes seconds to join the group, and until then knows no other
+// controller to pass anything on to. After a restart of all controllers, a target whose announcement it accepted would
+// stay unknown to the others, and requests for its objects would be refused for that time.
+func TestUnjoinedControllerRefusesAnnouncements(t *testing.T) {
 	is := is.New(t)
-	x := begin(t)
+	x := startExchanger(t)
 	for _, state := range []wire.TargetState{wire.TargetState_TARGET_READY, wire.TargetState_TARGET_LEAVING} {
-		var alone *UnjoinedError
-		is.True(errors.As(x.Announce(context.Background(), announcement(1, state)), &alone))
+		var notJoined *NotJoinedError
+		is.True(errors.As(x.Announce(context.Background(), announcement(1, state)), &notJoined))
 	}
 	_, known := x.gossip.Target("t1")
 	is.True(!known)
 }
 
-func TestLateLeaveOfAFormerRunIsIgnored(t *testing.T) {
+func TestLateLeaveOfEarlierIncarnationIsIgnored(t *testing.T) {
 	is := is.New(t)
-	x := begin(t, "c1")
+	x := startExchanger(t, "c1")
 	is.NoErr(x.Announce(context.Background(), announcement(1, wire.TargetState_TARGET_READY)))
 	is.NoErr(x.Leave(context.Background(), "t1", 4))
 	record, _ := x.gossip.Target("t1")
@@ -122,9 +121,9 @@
 	return response.Msg
 }
 
-func TestWatcherIsAnsweredAtOnceWhenThereIsNews(t *testing.T) {
+func TestWatchReturnsOnChange(t *testing.T) {
 	is := is.New(t)
-	x := begin(t, "c1")
+	x := startExchanger(t, "c1")
 	node := &wire.Node{Name: "e1", Caller: "10.0.0.9:80"}
 	first := watch(t, x, &wire.WatchRequest{Node: node})
 	is.Equal(first.GetPlan().GetVersion(), uint64(1))
@@ -139,12 +138,12 @@
 	})
 	is.Equal(len(next.GetRecords()), 1)
 	is.True(next.GetPlan() == nil)
-	is.True(time.Since(started) < watchHold/2)
+	is.True(time.Since(started) < watchTimeout/2)
 }
 
-// A controller loses touch with the others. An entry instance that stayed with it would never hear that a target
-// leaves or that the plan has changed.
-func TestWatcherIsToldWhenItsControllerIsCutOff(t *testing.T) {
-	x := begin(t, "c1", "c2", "c3")
+// An entry instance that keeps watching a controller without a majority would miss leaving targets and new plans, so
+// the response reports the loss.
+func TestWatchReportsLostQuorum(t *testing.T) {
+	x := startExchanger(t, "c1", "c2", "c3")
 	is.New(t).True(!watch(t, x, &wire.WatchRequest{Node: &wire.Node{Name: "e1"}}).GetLinked())
 }
--- a/controller/internal/exchanger/hosts.go
+++ b/controller/internal/exchanger/hosts.go
@@ -8,42 +8,44 @@
 	"chervilrail.example/core/wire"
 )
 
-// savePause is the least time between two writes of the hosts. What was told since the last one is lost with the power, and
-// costs a slow run for each object.
-const savePause = time.Second
+// saveInterval is the minimum time between two writes of the hosts. A power failure loses the hosts reported since the
+// last write, which costs one slow run for each of their objects.
+const saveInterval = time.Second
 
-// gatherHosts is how long changed hosts wait for more before entry instances are told. An old host still has its object
-// warm, so that haste would only cost calls.
-const gatherHosts = 250 * time.Millisecond
+// hostsDelay is how long changed hosts are batched before entry instances are notified. The old host still has its
+// object warm, so notifying sooner would only cost more calls.
+const hostsDelay = 250 * time.Millisecond
 
-// noticeHosts has the watchers told in a while that hosts changed. The caller holds the lock.
-func (x *Exchanger) noticeHosts() {
-	if x.hostsSoon || x.gossip.HostsCounter() == x.hostsTold {
+// scheduleHostsNotification schedules a notification of the watchers if hosts have changed since the last one. The
+// caller holds the lock.
+func (x *Exchanger) scheduleHostsNotification() {
+	if x.hostsPending || x.gossip.HostsCounter() == x.notifiedHosts {
 		return
 	}
-	x.hostsSoon = true
-	time.AfterFunc(gatherHosts, func() {
+	x.hostsPending = true
+	time.AfterFunc(hostsDelay, func() {
 		x.mu.Lock()
 		defer x.mu.Unlock()
-		x.hostsSoon, x.hostsTold = false, x.gossip.HostsCounter()
-		x.wake()
+		x.hostsPending, x.notifiedHosts = false, x.gossip.HostsCounter()
+		x.notifyWatchers()
 	})
 }
 
-// HostStore keeps the objects' hosts over restarts.
+// HostStore keeps the hosts of objects across restarts.
 type HostStore interface {
 	Load() ([]*wire.Host, error)
 	Save(list []*wire.Host) error
 }
 
-// remember takes up the hosts of the last run.
-func (x *Exchanger) remember() {
+// loadHosts adds the hosts that an earlier run has stored to the gossip state. If they can't be read, objects are
+// placed anew.
+func (x *Exchanger) loadHosts() {
 	if x.HostStore == nil {
 		return
 	}
 	list, err := x.HostStore.Load()
 	if err != nil {
-		_ = level.Warn(x.Logger).Log("msg", "hosts of objects not read, they are placed anew", "err", err)
+		_ = level.Warn(x.Logger).Log("msg", "reading hosts of objects failed, objects are placed anew", "err", err)
 		return
 	}
 	x.mu.Lock()
@@ -52,9 +54,10 @@
 	_ = level.Info(x.Logger).Log("msg", "hosts of objects read", "hosts", len(list))
 }
 
-// save writes the hosts from time to time, in a goroutine of its own: a stalled disk must not hold up anything else.
-func (x *Exchanger) save() {
-	ticker := time.NewTicker(savePause)
+// saveHosts periodically stores the hosts if they have changed. It runs in a goroutine of its own, so that a stalled
+// disk does not block anything else.
+func (x *Exchanger) saveHosts() {
+	ticker := time.NewTicker(saveInterval)
 	defer ticker.Stop()
 	saved, failing := uint64(0), false
 	for {
--- a/controller/internal/exchanger/hosts_test.go
+++ b/controller/internal/exchanger/hosts_test.go
@@ -12,7 +12,7 @@
 	"chervilrail.example/core/wire"
 )
 
-// next makes one call as an entry instance of a region that has seen an answer.
+// next makes one watch call for an entry instance of a region that has received an earlier response.
 func next(t *testing.T, x *Exchanger, region string, last *wire.WatchResponse) *wire.WatchResponse {
 	t.Helper()
 	return watch(t, x, &wire.WatchRequest{
@@ -21,11 +21,11 @@
 	})
 }
 
-// Guards against entry instances that go on asking, or send to an object's old target, because nobody tells them that it
-// moved while they watch.
-func TestWatchersHearOfMovedObjects(t *testing.T) {
+// Guards against watch calls that do not return the new host of a moved object: entry instances would go on looking it
+// up, or send to its old target.
+func TestWatchReturnsMovedHosts(t *testing.T) {
 	is := is.New(t)
-	x := begin(t, "c1")
+	x := startExchanger(t, "c1")
 	first := next(t, x, "r", nil)
 	time.AfterFunc(50*time.Millisecond, func() {
 		host := &wire.Host{Object: 1, Service: "s", Target: "t1", Region: "r", Version: 3, Route: "view"}
@@ -46,18 +46,19 @@
 	is.Equal(len(next(t, x, "elsewhere", nil).GetHosts()), 0)
 }
 
-// Guards against targets' loads that reach no other entry instance, and against answers that repeat all of them.
-func TestWatchersHearOfLoads(t *testing.T) {
+// Guards against loads of targets that do not reach other entry instances, and against responses that repeat all of
+// them.
+func TestWatchReturnsLoads(t *testing.T) {
 	is := is.New(t)
-	x := begin(t, "c1")
+	x := startExchanger(t, "c1")
 	request := &wire.WatchRequest{
 		Node: &wire.Node{Name: "one", Region: "r"}, Loads: aggregator.Encode([]aggregator.Reading{{Target: aggregator.Key("t1"), PerSlot: 2}}),
 	}
 	_, err := x.Watch(context.Background(), connect.NewRequest(request))
 	is.NoErr(err)
-	heard := next(t, x, "r", nil)
-	loads := aggregator.Decode(heard.GetLoads())
+	received := next(t, x, "r", nil)
+	loads := aggregator.Decode(received.GetLoads())
 	is.Equal(len(loads), 1)
 	is.Equal(loads[0], aggregator.Reading{Target: aggregator.Key("t1"), PerSlot: 2})
-	is.Equal(len(next(t, x, "r", heard).GetLoads().GetTargets()), 0)
+	is.Equal(len(next(t, x, "r", received).GetLoads().GetTargets()), 0)
 }
--- a/controller/internal/exchanger/submit.go
+++ b/controller/internal/exchanger/submit.go
@@ -10,7 +10,8 @@
 	"chervilrail.example/core/wire/wireconnect"
 )
 
-// Forward sends a command to the leading controller. After an error the command may or may not have run.
+// Forward sends a command to the leader. It returns a NoLeaderError if none is known, in which case the command was not
+// sent. After any other error the command may or may not have run.
 func (x *Exchanger) Forward(ctx context.Context, command *wire.Command) (*wire.Result, error) {
 	client, err := x.leader()
 	if err != nil {
@@ -23,7 +24,7 @@
 	return response.Msg.GetResult(), nil
 }
 
-// ForwardAllot sends a question for parts of quotas to the leading controller.
+// ForwardAllot sends a request for parts of quotas to the leader. It returns a NoLeaderError if none is known.
 func (x *Exchanger) ForwardAllot(ctx context.Context, r *wire.AllotRequest) (*wire.AllotResponse, error) {
 	client, err := x.leader()
 	if err != nil {
@@ -36,10 +37,11 @@
 	return response.Msg, nil
 }
 
+// leader returns a client of the leader.
 func (x *Exchanger) leader() (wireconnect.ExchangeClient, error) {
 	address, err := netip.ParseAddrPort(x.Consensus.Routing().LeaderAddress())
 	if err != nil {
-		return nil, &LeaderlessError{}
+		return nil, &NoLeaderError{}
 	}
 	return wireconnect.NewExchangeClient(x.client, x.Dialer.URL(address)), nil
 }
--- a/controller/internal/exchanger/watch.go
+++ b/controller/internal/exchanger/watch.go
@@ -9,11 +9,13 @@
 	"chervilrail.example/core/wire"
 )
 
-// gatherNews is how long news waits for more before it is passed on. Changes come in groups, and each answer costs every
-// entry instance a call.
-const gatherNews = 50 * time.Millisecond
+// changesDelay is how long changes are batched before watch calls are answered. Changes come in groups, and each answer
+// costs every entry instance another call.
+const changesDelay = 50 * time.Millisecond
 
-// Watch answers an entry instance as soon as there is something new for it, or after a pause.
+// Watch implements the long poll of entry instances: it answers as soon as there are changes that the instance has not
+// seen, or after watchTimeout. The first call of an instance outside this controller's region is answered with the
+// reachable controllers of the instance's region, if there are any.
 func (x *Exchanger) Watch(
 	ctx context.Context, r *connect.Request[wire.WatchRequest],
 ) (*connect.Response[wire.WatchResponse], error) {
@@ -22,25 +24,25 @@
 		x.gossip.UpdateLoads(now, r.Msg.GetLoads())
 	})
 	if r.Msg.GetFirst() {
-		if nearer := x.nearer(r.Msg.GetNode().GetRegion()); nearer != nil {
-			return connect.NewResponse(nearer), nil
+		if nearControllers := x.nearControllers(r.Msg.GetNode().GetRegion()); nearControllers != nil {
+			return connect.NewResponse(nearControllers), nil
 		}
 	}
-	pause := time.NewTimer(watchHold)
-	defer pause.Stop()
+	timer := time.NewTimer(watchTimeout)
+	defer timer.Stop()
 	for {
 		x.mu.Lock()
-		news := x.news
+		changed := x.changed
 		x.mu.Unlock()
-		response, fresh := x.answer(time.Now(), r.Msg)
+		response, fresh := x.buildResponse(time.Now(), r.Msg)
 		if fresh {
 			return connect.NewResponse(response), nil
 		}
 		select {
-		case <-news:
-			time.Sleep(gatherNews)
-		case <-pause.C:
-			response, _ = x.answer(time.Now(), r.Msg)
+		case <-changed:
+			time.Sleep(changesDelay)
+		case <-timer.C:
+			response, _ = x.buildResponse(time.Now(), r.Msg)
 			return connect.NewResponse(response), nil
 		case <-ctx.Done():
 			return nil, connect.NewError(connect.CodeCanceled, ctx.Err())
@@ -50,36 +52,38 @@
 	}
 }
 
-// answer makes the response of this moment, and reports whether it holds anything new.
-func (x *Exchanger) answer(now time.Time, r *wire.WatchRequest) (*wire.WatchResponse, bool) {
+// buildResponse builds the response for the current state, and reports whether to send it at once: it holds something
+// that the instance has not seen, or this controller has lost the majority.
+func (x *Exchanger) buildResponse(now time.Time, r *wire.WatchRequest) (*wire.WatchResponse, bool) {
 	routing := x.Consensus.Routing()
-	linked := x.linked(now)
+	hasQuorum := x.hasQuorum(now)
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	counter, hosted, loaded := r.GetCounter(), r.GetHosted(), r.GetLoaded()
 	if r.GetRun() != x.gossip.Run {
 		counter, hosted, loaded = 0, 0, 0
 	}
-	news := x.gossip.ChangesSince(now, counter)
+	changes := x.gossip.ChangesSince(now, counter)
 	out := &wire.WatchResponse{
-		Run: x.gossip.Run, Counter: x.gossip.Counter(), Linked: linked, Revision: routing.Revision,
-		Records: news.Records, Seen: news.Seen, Whole: news.Whole, Losses: news.Losses,
+		Run: x.gossip.Run, Counter: x.gossip.Counter(), Linked: hasQuorum, Revision: routing.Revision,
+		Records: changes.Records, Seen: changes.Seen, Whole: changes.Whole, Losses: changes.Losses,
 	}
 	out.Hosts, out.Hosted = x.gossip.HostsSince(r.GetNode().GetRegion(), hosted), x.gossip.HostsCounter()
 	out.Loads, out.Loaded = x.gossip.LoadsSince(loaded)
-	x.nameControllers(now, r.GetNode().GetRegion(), out)
+	x.listControllers(now, r.GetNode().GetRegion(), out)
 	if routing.Revision > r.GetRevision() {
 		out.Evacuated = routing.Evacuated
 		if routing.Plan.GetVersion() > r.GetVersion() {
 			out.Plan = routing.PlanWithoutKeys
 		}
 	}
-	fresh := routing.Revision > r.GetRevision() || !news.Empty() || len(out.Hosts) > 0
-	return out, fresh || !linked && r.GetRun() == x.gossip.Run
+	fresh := routing.Revision > r.GetRevision() || !changes.Empty() || len(out.Hosts) > 0
+	return out, fresh || !hasQuorum && r.GetRun() == x.gossip.Run
 }
 
-// nameControllers lists the controllers, and which of them are near. The caller holds the lock.
-func (x *Exchanger) nameControllers(now time.Time, region string, out *wire.WatchResponse) {
+// listControllers adds the controllers to a response, and those that are reachable in the region. The caller holds the
+// lock.
+func (x *Exchanger) listControllers(now time.Time, region string, out *wire.WatchResponse) {
 	for _, m := range x.Consensus.Routing().Members {
 		out.Controllers = append(out.Controllers, m.GetAddress())
 		if x.gossip.ReachableIn(now, m.GetName(), region) {
@@ -88,22 +92,24 @@
 	}
 }
 
-// nearer returns an answer that only names controllers of a region, or nil if this one is there or none is.
-func (x *Exchanger) nearer(region string) *wire.WatchResponse {
+// nearControllers returns a response that only names controllers, or nil if this controller is in the region itself or
+// no reachable controller is.
+func (x *Exchanger) nearControllers(region string) *wire.WatchResponse {
 	if region == x.Region {
 		return nil
 	}
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	out := &wire.WatchResponse{}
-	x.nameControllers(time.Now(), region, out)
+	x.listControllers(time.Now(), region, out)
 	if len(out.GetNear()) == 0 {
 		return nil
 	}
 	return out
 }
 
-// Tell takes an entry instance's news.
+// Tell implements the entry instances' reports: of their own state, of requests lost with a target, and of hosts of
+// objects.
 func (x *Exchanger) Tell(
 	_ context.Context, r *connect.Request[wire.TellRequest],
 ) (*connect.Response[wire.TellResponse], error) {
@@ -115,7 +121,7 @@
 	return connect.NewResponse(&wire.TellResponse{}), nil
 }
 
-// EntryInstances returns the entry instances heard lately by any controller in touch.
+// EntryInstances returns the entry instances that any reachable controller has recently observed.
 func (x *Exchanger) EntryInstances() []*wire.Seen {
 	x.mu.Lock()
 	defer x.mu.Unlock()
