--- a/controller/internal/allocator/allocator.go
+++ b/controller/internal/allocator/allocator.go
@@ -1,5 +1,5 @@
-// Package allocator answers entry instances that ask for parts of organisations' quotas, on any controller: here if this
-// controller leads, and by passing the question on to the leader otherwise.
+// Package allocator answers entry instances' requests for parts of organisations' quotas. Any controller takes them:
+// the leader allots, others forward the request to it.
 package allocator
 
 import (
@@ -14,12 +14,12 @@
 	"chervilrail.example/core/wire"
 )
 
-// Consensus allots where this controller leads.
+// Consensus allots parts of quotas if this controller is the leader, and returns a consenter.NotLeaderError otherwise.
 type Consensus interface {
 	Allot(ctx context.Context, r *wire.AllotRequest) (*wire.AllotResponse, error)
 }
 
-// Forwarder sends questions to the leader.
+// Forwarder sends requests to the leader.
 type Forwarder interface {
 	ForwardAllot(ctx context.Context, r *wire.AllotRequest) (*wire.AllotResponse, error)
 }
@@ -31,23 +31,25 @@
 	Logger    log.Logger
 }
 
-// Allot implements the call of entry instances, and of controllers that pass it on.
-func (d *Allocator) Allot(
+// Allot implements the call of entry instances, and of controllers that forward it. A request that was forwarded
+// already is not forwarded again. All errors have the code unavailable.
+func (a *Allocator) Allot(
 	ctx context.Context, r *connect.Request[wire.AllotRequest],
 ) (*connect.Response[wire.AllotResponse], error) {
-	response, err := d.Consensus.Allot(ctx, r.Msg)
-	var leader *consenter.NotLeaderError
-	if errors.As(err, &leader) && !r.Msg.GetPassed() {
-		response, err = d.pass(ctx, r.Msg)
+	response, err := a.Consensus.Allot(ctx, r.Msg)
+	var notLeader *consenter.NotLeaderError
+	if errors.As(err, &notLeader) && !r.Msg.GetPassed() {
+		response, err = a.forward(ctx, r.Msg)
 	}
 	if err != nil {
-		_ = level.Debug(d.Logger).Log("msg", "parts of quotas not given", "holder", r.Msg.GetHolder().GetName(), "err", err)
+		_ = level.Debug(a.Logger).Log("msg", "parts of quotas not allotted", "holder", r.Msg.GetHolder().GetName(), "err", err)
 		return nil, connect.NewError(connect.CodeUnavailable, err)
 	}
 	return connect.NewResponse(response), nil
 }
 
-func (d *Allocator) pass(ctx context.Context, r *wire.AllotRequest) (*wire.AllotResponse, error) {
+// forward marks the request as forwarded and sends it to the leader.
+func (a *Allocator) forward(ctx context.Context, r *wire.AllotRequest) (*wire.AllotResponse, error) {
 	r.Passed = true
-	return d.Forwarder.ForwardAllot(ctx, r)
+	return a.Forwarder.ForwardAllot(ctx, r)
 }
--- a/controller/internal/changer/changer.go
+++ b/controller/internal/changer/changer.go
@@ -1,5 +1,5 @@
-// Package changer takes operators' changes of the routing state on any controller: it proposes them here if this
-// controller leads, and passes them on to the leader otherwise.
+// Package changer applies operators' changes of the routing state. Any controller takes them: the leader proposes them
+// itself, others forward them to it.
 package changer
 
 import (
@@ -17,11 +17,11 @@
 	"chervilrail.example/core/wire"
 )
 
-// timeout bounds one change. It covers a change of leader, about two seconds, so that most changes sent meanwhile
-// are answered by the call that brought them.
-const timeout = 3 * time.Second
+// commandTimeout bounds one command. It covers a change of leader, which takes about two seconds, so that most commands
+// sent meanwhile are answered without a retry by the caller.
+const commandTimeout = 3 * time.Second
 
-// Consensus proposes commands where this controller leads.
+// Consensus proposes commands if this controller is the leader, and returns a consenter.NotLeaderError otherwise.
 type Consensus interface {
 	Propose(ctx context.Context, command *wire.Command) (*wire.Result, error)
 }
@@ -31,19 +31,19 @@
 	Forward(ctx context.Context, command *wire.Command) (*wire.Result, error)
 }
 
-// Changer serves operators. Set the exported fields before use.
+// Changer executes operators' commands. Set the exported fields before use.
 type Changer struct {
 	Consensus Consensus
 	Forwarder Forwarder
 	Logger    log.Logger
 }
 
-// Change puts a new routing plan in force. Without an error the verdict is final; after an error the change may or
-// may not come into force, and its sender asks again.
+// Change puts a new routing plan in force. Without an error the verdict is final. After an error the change may or may
+// not come into force, and the caller has to retry it.
 func (c *Changer) Change(ctx context.Context, change *wire.PlanChange) (*wire.PlanVerdict, error) {
 	if change.GetPatch() == nil {
 		if fault := planner.Check(change.GetPlan()); fault != nil {
-			// A plan that can't be put in force needs no place in the log to be refused.
+			// An invalid plan is refused without an entry in the log.
 			return invalid(fault), nil
 		}
 	}
@@ -58,8 +58,8 @@
 	return &wire.PlanVerdict{Outcome: wire.PlanOutcome_PLAN_INVALID, Reason: fault.Error()}
 }
 
-// Read returns the newest routing plan for certain, or nil before the first. A leader that was suspended or cut off
-// can't tell by its own clock whether it still leads, so each read takes a place in the log.
+// Read returns the newest routing plan, or nil if there is none yet. The read is linearizable: since a leader that was
+// suspended or disconnected can't tell by its own clock whether it still leads, each read takes an entry in the log.
 func (c *Changer) Read(ctx context.Context) (*wire.Plan, error) {
 	result, err := c.run(ctx, "read", &wire.Command{Read: true})
 	if err != nil {
@@ -68,52 +68,55 @@
 	return result.GetCurrent(), nil
 }
 
-// Evacuate keeps requests away from the targets of an availability zone, or ends that.
+// Evacuate keeps requests away from the targets of an availability zone if on is true, and ends that otherwise. After
+// an error the command may or may not be executed.
 func (c *Changer) Evacuate(ctx context.Context, zone string, on bool) error {
 	_, err := c.run(ctx, "evacuate", &wire.Command{Evacuation: &wire.Evacuation{Zone: zone, On: on}})
 	return err
 }
 
-func (c *Changer) run(ctx context.Context, what string, command *wire.Command) (*wire.Result, error) {
+// run executes a command, here or at the leader. The name is for logs and errors.
+func (c *Changer) run(ctx context.Context, name string, command *wire.Command) (*wire.Result, error) {
 	if listener.Left(ctx) {
-		return nil, c.unwanted(what)
+		return nil, c.refuseDisconnected(name)
 	}
-	ctx, cancel := context.WithTimeout(ctx, timeout)
+	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
 	result, err := c.Consensus.Propose(ctx, command)
-	var leader *consenter.NotLeaderError
-	if errors.As(err, &leader) {
+	var notLeader *consenter.NotLeaderError
+	if errors.As(err, &notLeader) {
 		result, err = c.Forwarder.Forward(ctx, command)
 	}
 	if err != nil {
-		_ = level.Warn(c.Logger).Log("msg", "command not answered", "command", what, "err", err)
+		_ = level.Warn(c.Logger).Log("msg", "command not answered", "command", name, "err", err)
 		return nil, err
 	}
 	return result, nil
 }
 
-// unwanted refuses a command whose caller has gone. It sent the command again elsewhere, and may have sent others since:
-// carried out now, an order would undo a later one that was acknowledged.
-func (c *Changer) unwanted(what string) error {
-	err := &LeftError{Command: what}
-	_ = level.Warn(c.Logger).Log("msg", "command not carried out", "command", what, "err", err)
+// refuseDisconnected refuses a command whose caller has disconnected. The caller retries the command elsewhere and may
+// have sent later ones since; executed now, the old command could undo a later one that was acknowledged.
+func (c *Changer) refuseDisconnected(name string) error {
+	err := &DisconnectedError{Command: name}
+	_ = level.Warn(c.Logger).Log("msg", "command not carried out", "command", name, "err", err)
 	return err
 }
 
-// LeftError says that a command was not carried out, for its caller had gone before.
-type LeftError struct {
+// DisconnectedError reports that a command was not executed because its caller had disconnected before.
+type DisconnectedError struct {
 	Command string
 }
 
 // Error implements error.
-func (e *LeftError) Error() string { return "the caller of " + e.Command + " has gone" }
+func (e *DisconnectedError) Error() string { return "the caller of " + e.Command + " has gone" }
 
-// Submit implements the call from other controllers.
+// Submit implements the call of other controllers that forward a command. It refuses the command with the code canceled
+// if the caller has disconnected, and with unavailable if it can't be proposed here.
 func (c *Changer) Submit(
 	ctx context.Context, r *connect.Request[wire.SubmitRequest],
 ) (*connect.Response[wire.SubmitResponse], error) {
 	if listener.Left(ctx) {
-		return nil, connect.NewError(connect.CodeCanceled, c.unwanted("submit"))
+		return nil, connect.NewError(connect.CodeCanceled, c.refuseDisconnected("submit"))
 	}
 	result, err := c.Consensus.Propose(ctx, r.Msg.GetCommand())
 	if err != nil {
--- a/controller/internal/changer/changer_test.go
+++ b/controller/internal/changer/changer_test.go
@@ -16,24 +16,24 @@
 	"chervilrail.example/core/wire"
 )
 
-// mind counts the commands that are proposed.
-type mind struct{ proposed atomic.Int32 }
+// consensus counts the commands that are proposed.
+type consensus struct{ proposed atomic.Int32 }
 
-func (m *mind) Propose(context.Context, *wire.Command) (*wire.Result, error) {
+func (m *consensus) Propose(context.Context, *wire.Command) (*wire.Result, error) {
 	m.proposed.Add(1)
 	return &wire.Result{}, nil
 }
 
-// settle is longer than a request takes here.
-const settle = 50 * time.Millisecond
+// settleTime is longer than a request takes in this test.
+const settleTime = 50 * time.Millisecond
 
-// Guards against an order that is carried out when a suspended controller wakes, after it was given up, sent elsewhere and
-// taken back: a zone would be evacuated that the operator was told is in use again.
-func TestAnOrderWhoseCallerHasGoneIsNotCarriedOut(t *testing.T) {
-	for name, leaves := range map[string]bool{"gone": true, "waiting": false} {
+// Guards against executing a command after a controller was suspended and its caller has given up, retried it elsewhere
+// and undone it: an availability zone would be evacuated again that the operator was told is in use.
+func TestCommandOfDisconnectedCallerIsNotExecuted(t *testing.T) {
+	for name, disconnects := range map[string]bool{"gone": true, "waiting": false} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			m := &mind{}
+			m := &consensus{}
 			c := &Changer{Consensus: m, Logger: log.NewNopLogger()}
 			suspended := make(chan struct{})
 			socket, err := net.Listen("tcp", "127.0.0.1:0")
@@ -52,13 +52,13 @@
 			defer caller.Close()
 			_, err = caller.Write([]byte("POST /x HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n"))
 			is.NoErr(err)
-			if leaves {
+			if disconnects {
 				is.NoErr(caller.Close())
 			}
-			time.Sleep(settle)
+			time.Sleep(settleTime)
 			close(suspended)
-			time.Sleep(settle)
-			is.Equal(m.proposed.Load() == 0, leaves)
+			time.Sleep(settleTime)
+			is.Equal(m.proposed.Load() == 0, disconnects)
 		})
 	}
 }
--- a/controller/internal/selector/selector.go
+++ b/controller/internal/selector/selector.go
@@ -1,4 +1,4 @@
-// Package selector chooses the entry instances that a client is told to use.
+// Package selector chooses the entry instances that a client is to use.
 package selector
 
 import (
@@ -11,49 +11,51 @@
 	"chervilrail.example/core/wire"
 )
 
-// answerLife is how long a client may keep an answer. A stopped entry instance must be out of use within seconds,
-// and some clients keep answers three times as long as they are told.
-const answerLife = 2 * time.Second
+// answerTTL is how long a client may cache an answer. A stopped entry instance must be out of use within seconds, and
+// some clients cache answers three times as long as they may.
+const answerTTL = 2 * time.Second
 
-// maxAnswers is how many entry instances one answer names: as many as clients take from one.
-const maxAnswers = 64
+// maxInstances is the maximum number of entry instances in one answer, which is as many as clients use of one.
+const maxInstances = 64
 
-// InstanceLister lists the entry instances heard lately.
+// InstanceLister lists the recently observed entry instances.
 type InstanceLister interface {
 	EntryInstances() []*wire.Seen
 }
 
-// Selector answers clients. Set the exported fields before use.
+// Selector answers look-ups of clients. Set the exported fields before use.
 type Selector struct {
 	InstanceLister InstanceLister
 }
 
-// Select returns the entry instances for a client of a region and availability zone, and until when that holds.
+// Select returns the entry instances for a client of a region, and until when the answer is valid. Instances of other
+// regions are returned only if the region has none. Instances that are stopping are left out. The availability zone is
+// not used.
 func (s *Selector) Select(client netip.Addr, region, _ string, now time.Time) ([]netip.AddrPort, time.Time) {
-	var near, all group
-	for _, seen := range s.InstanceLister.EntryInstances() {
-		n := seen.GetNode()
-		address, err := netip.ParseAddrPort(n.GetCaller())
-		if err != nil || n.GetLeaving() && !n.GetStarting() {
+	var local, all candidates
+	for _, instance := range s.InstanceLister.EntryInstances() {
+		node := instance.GetNode()
+		address, err := netip.ParseAddrPort(node.GetCaller())
+		if err != nil || node.GetLeaving() && !node.GetStarting() {
 			continue
 		}
-		all.add(address, n.GetStarting())
-		if n.GetRegion() == region {
-			near.add(address, n.GetStarting())
+		all.add(address, node.GetStarting())
+		if node.GetRegion() == region {
+			local.add(address, node.GetStarting())
 		}
 	}
-	if near.empty() {
-		near = all
+	if local.empty() {
+		local = all
 	}
-	return some(client, near.named()), now.Add(answerLife)
+	return truncate(client, local.usable()), now.Add(answerTTL)
 }
 
-// group is the entry instances that may serve a client.
-type group struct {
+// candidates are the entry instances that may serve a client.
+type candidates struct {
 	ready, starting []netip.AddrPort
 }
 
-func (g *group) add(a netip.AddrPort, starting bool) {
+func (g *candidates) add(a netip.AddrPort, starting bool) {
 	if starting {
 		g.starting = append(g.starting, a)
 		return
@@ -61,24 +63,24 @@
 	g.ready = append(g.ready, a)
 }
 
-func (g *group) empty() bool { return len(g.ready)+len(g.starting) == 0 }
+func (g *candidates) empty() bool { return len(g.ready)+len(g.starting) == 0 }
 
-// named lists the instances to use: those that are ready, and the starting ones as long as they are more. After a restart
-// of all, the first few that are ready would else get everybody's requests for as long as clients keep their answers,
-// and have no room left for what the controllers tell them.
-func (g *group) named() []netip.AddrPort {
+// usable returns the ready instances, and the starting ones too while they are the majority. After a restart of all
+// instances, the first few ready ones would otherwise receive all requests for as long as clients cache their answers,
+// and would have no capacity left for the updates of the controllers.
+func (g *candidates) usable() []netip.AddrPort {
 	if len(g.ready) >= len(g.starting) {
 		return g.ready
 	}
 	return slices.Concat(g.ready, g.starting)
 }
 
-// some names as many as fit, from a place in the list that differs between clients: the first of the list alone would
-// carry everything while the others idle.
-func some(client netip.Addr, list []netip.AddrPort) []netip.AddrPort {
-	if len(list) <= maxAnswers {
+// truncate returns at most maxInstances instances, starting at an offset that differs between clients. If all clients
+// got the start of the list, these instances would carry all load while the others are idle.
+func truncate(client netip.Addr, list []netip.AddrPort) []netip.AddrPort {
+	if len(list) <= maxInstances {
 		return list
 	}
-	at := int(xxhash.Sum64(client.AsSlice()) % uint64(len(list)))
-	return slices.Concat(list[at:], list[:at])[:maxAnswers]
+	offset := int(xxhash.Sum64(client.AsSlice()) % uint64(len(list)))
+	return slices.Concat(list[offset:], list[:offset])[:maxInstances]
 }
