--- a/controller/internal/cli/cli.go
+++ b/controller/internal/cli/cli.go
@@ -40,7 +40,7 @@
 	exitSettings = 2
 )
 
-// Run runs the program and returns its exit code.
+// Run runs the program with its arguments, the first of which is the program's name, and returns the exit code.
 func Run(args []string) int {
 	settings := &cli.StringFlag{
 		Name: "config", Usage: "settings `FILE`", Required: true, Sources: cli.EnvVars("CHERVILRAIL_CONFIG"),
@@ -60,7 +60,7 @@
 				Name:   "found",
 				Usage:  "create a new group on an empty data folder, once, on one controller",
 				Flags:  []cli.Flag{settings},
-				Action: found,
+				Action: foundGroup,
 			},
 		},
 	}
@@ -75,7 +75,8 @@
 	return 0
 }
 
-func load(c *cli.Command) (*config.Config, error) {
+// loadSettings reads the settings file that the flag names.
+func loadSettings(c *cli.Command) (*config.Config, error) {
 	settings, err := config.Load(c.String("config"))
 	if err != nil {
 		return nil, cli.Exit(err.Error(), exitSettings)
@@ -83,10 +84,10 @@
 	return settings, nil
 }
 
-// found writes the first member by hand. It is a command of its own: a setting left in a unit file
-// would found a second group after a disk is lost, and accepted changes would revert.
-func found(_ context.Context, c *cli.Command) error {
-	settings, err := load(c)
+// foundGroup creates a group with this controller as its only member. It is a command and not a setting: a setting that
+// stays in a unit file would found a second group after the loss of a disk, and accepted changes would be reverted.
+func foundGroup(_ context.Context, c *cli.Command) error {
+	settings, err := loadSettings(c)
 	if err != nil {
 		return err
 	}
@@ -111,8 +112,9 @@
 	return store.SaveIdentity(&wire.Identity{Group: rand.Uint64(), Self: self})
 }
 
+// run runs the controller until it receives SIGTERM or SIGINT. With the flag check it only validates the settings.
 func run(ctx context.Context, c *cli.Command) error {
-	settings, err := load(c)
+	settings, err := loadSettings(c)
 	if err != nil {
 		return err
 	}
@@ -125,15 +127,15 @@
 	k, closeLog := assemble(settings)
 	defer closeLog()
 	k.Services = append([]kernel.Service{&reloader.Reloader{
-		// What the settings say takes effect with the next start.
-		Load:   func() error { _, err := load(c); return err },
+		// A reload only validates the settings. They take effect at the next start.
+		Load:   func() error { _, err := loadSettings(c); return err },
 		Logger: k.Logger,
 	}}, k.Services...)
 	_ = level.Info(k.Logger).Log("msg", "starting", "control", settings.Control, "operator", settings.Operator)
 	return k.Run(ctx)
 }
 
-// assemble puts the controller together; the function it returns ends the log.
+// assemble creates the controller's services. The function that it returns closes the log.
 func assemble(settings *config.Config) (*kernel.Kernel, func()) {
 	registry := reporter.Registry()
 	logs, closeLog := logger.Open(logger.Options{
@@ -141,8 +143,8 @@
 	}, registry)
 	fatal := make(chan error, 1)
 	controlKeys := &securer.Keys{Files: settings.ControlKeys}
-	carrier := &courier.Courier{Dialer: &dialer.Dialer{Keys: controlKeys}, Logger: logs}
-	mind := &consenter.Consenter{
+	sender := &courier.Courier{Dialer: &dialer.Dialer{Keys: controlKeys}, Logger: logs}
+	consensus := &consenter.Consenter{
 		Folder:    settings.Folder,
 		Member:    &wire.Member{Name: settings.Name, Address: settings.Control.String()},
 		Peers:     settings.Peers,
@@ -155,27 +157,27 @@
 		},
 		Lease:  settings.Lease,
 		Quotas: settings.Quotas,
-		Sender: carrier,
+		Sender: sender,
 		Logger: logs,
 		Fatal:  fatal,
 	}
 	exchange := &exchanger.Exchanger{
-		Self: settings.Name, Region: settings.Region, Consensus: mind, Dialer: &dialer.Dialer{Keys: controlKeys, Plain: true},
+		Self: settings.Name, Region: settings.Region, Consensus: consensus, Dialer: &dialer.Dialer{Keys: controlKeys, Plain: true},
 		HostStore: &storer.Hosts{Folder: settings.Folder}, Logger: logs,
 	}
-	mind.OnRoutingChange = exchange.NotifyWatchers
-	change := &changer.Changer{Consensus: mind, Forwarder: exchange, Logger: logs}
-	divide := &allocator.Allocator{Consensus: mind, Forwarder: exchange, Logger: logs}
+	consensus.OnRoutingChange = exchange.NotifyWatchers
+	change := &changer.Changer{Consensus: consensus, Forwarder: exchange, Logger: logs}
+	allocate := &allocator.Allocator{Consensus: consensus, Forwarder: exchange, Logger: logs}
 	handlers := &server.Server{
-		Consensus: mind, Token: settings.Token, Exchanger: exchange, Changer: change, Allocator: divide,
+		Consensus: consensus, Token: settings.Token, Exchanger: exchange, Changer: change, Allocator: allocate,
 	}
 	operator := handlers.Operator()
 	k := &kernel.Kernel{Logger: logs, Patience: settings.StopTimeout, Fatal: fatal}
-	registry.MustRegister(&server.Collector{Summary: mind.Summary})
+	registry.MustRegister(&server.Collector{Summary: consensus.Summary})
 	reporter.Mount(operator, registry, k)
 	k.Services = []kernel.Service{
-		carrier,
-		mind,
+		sender,
+		consensus,
 		exchange,
 		&listener.Listener{
 			Title: "control", Address: settings.Control, Handler: handlers.Control(), Keys: controlKeys, Logger: logs,
@@ -188,19 +190,20 @@
 			Logger:  logs,
 		},
 	}
-	k.Services = append(k.Services, faces(settings, &translator.PlatformHandler{
+	k.Services = append(k.Services, platformListeners(settings, &translator.PlatformHandler{
 		Changer: change, TargetRegistry: exchange, Selector: &selector.Selector{InstanceLister: exchange},
 		Regions: settings.Regions, Logger: logs,
 	})...)
 	return k, closeLog
 }
 
-// faces are the listeners that speak the users' platform's language, where the settings name any.
-func faces(settings *config.Config, face *translator.PlatformHandler) []kernel.Service {
+// platformListeners returns the listeners for calls of the users' platform, as far as the settings define their
+// addresses.
+func platformListeners(settings *config.Config, handler *translator.PlatformHandler) []kernel.Service {
 	var out []kernel.Service
 	for title, address := range map[string]netip.AddrPort{"callers": settings.Callers, "directory": settings.Directory} {
 		if address.IsValid() {
-			out = append(out, &listener.Listener{Title: title, Address: address, Handler: face, Logger: face.Logger})
+			out = append(out, &listener.Listener{Title: title, Address: address, Handler: handler, Logger: handler.Logger})
 		}
 	}
 	return out
--- a/controller/internal/config/config.go
+++ b/controller/internal/config/config.go
@@ -14,25 +14,28 @@
 )
 
 const (
-	defaultElection  = time.Second
-	defaultHeartbeat = 100 * time.Millisecond
-	defaultReplace   = 5 * time.Second
-	defaultLease     = 3 * time.Second
-	defaultPatience  = 10 * time.Second
-	minElection      = 50 * time.Millisecond
-	maxElection      = time.Minute
-	maxControllers   = 8
-	// defaultSeats lets one voter and one more be lost at once; each further pair costs every change two messages.
-	defaultSeats  = 5
-	electionBeats = 3
-	// defaultWindow is the span over which an organisation's requests are counted where no setting says.
-	defaultWindow = 5 * time.Second
-	minWindow     = 100 * time.Millisecond
-	// maxSlack bounds how many requests a quota may be passed by.
-	maxSlack = 1e6
+	defaultElection     = time.Second
+	defaultHeartbeat    = 100 * time.Millisecond
+	defaultReplaceAfter = 5 * time.Second
+	defaultLease        = 3 * time.Second
+	defaultStopTimeout  = 10 * time.Second
+	minElection         = 50 * time.Millisecond
+	maxElection         = time.Minute
+	maxControllers      = 8
+	// defaultMaxVoters is the number of voters with which two may fail at once. Each further pair costs two more
+	// messages per change.
+	defaultMaxVoters = 5
+	// heartbeatsPerElection is how many heartbeats an election timeout must cover at least.
+	heartbeatsPerElection = 3
+	// defaultQuotaWindow is the span over which an organisation's requests are counted if the settings do not define
+	// one.
+	defaultQuotaWindow = 5 * time.Second
+	minQuotaWindow     = 100 * time.Millisecond
+	// maxQuotaSlack bounds the number of requests by which a quota may be exceeded.
+	maxQuotaSlack = 1e6
 )
 
-// Config is a controller's checked settings.
+// Config holds a controller's validated settings.
 type Config struct {
 	Name   string
 	Region string
@@ -43,13 +46,15 @@
 	Operator netip.AddrPort
 	Peers    map[string]netip.AddrPort
 
-	// Callers takes the calls of the users' platform, Directory its clients' look-ups; both are optional.
+	// Callers is the address for calls of the users' platform, Directory the one for look-ups of its clients. Both are
+	// optional.
 	Callers   netip.AddrPort
 	Directory netip.AddrPort
-	// MaxVoters is how many controllers vote, Found whether this start founds the group of exactly the peers.
+	// MaxVoters is how many controllers vote. Bootstrap is set if this start founds the group, with exactly the peers
+	// as its members.
 	MaxVoters int
 	Bootstrap bool
-	// Regions holds the region of each availability zone.
+	// Regions maps each availability zone to its region.
 	Regions map[string]string
 
 	Election     time.Duration
@@ -58,7 +63,7 @@
 	Lease        time.Duration
 	StopTimeout  time.Duration
 
-	// Quotas say how exact organisations' quotas have to be.
+	// Quotas defines how exactly organisations' quotas are enforced.
 	Quotas quoter.Tolerance
 
 	TokenFile    string
@@ -70,7 +75,8 @@
 	LogLevel  string
 }
 
-// Load reads a file and checks it whole.
+// Load reads a settings file and validates it. Its errors are those of Parse, and a *parser.FaultsError if the file
+// can't be read.
 func Load(path string) (*Config, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -81,14 +87,15 @@
 	return Parse(path, data)
 }
 
-// Parse reads settings from text and checks them whole.
+// Parse reads settings from text and validates them. If there are faults, it returns a *parser.FaultsError with all of
+// them; the source names the text in it.
 func Parse(source string, data []byte) (*Config, error) {
 	d := parser.Parse(source, data)
 	c := &Config{Peers: map[string]netip.AddrPort{}, Regions: map[string]string{}}
 	sections := map[string]bool{}
 	for _, s := range d.Sections {
 		sections[s.Kind] = true
-		c.section(d, s)
+		c.readSection(d, s)
 	}
 	for _, kind := range []string{"controller", "listen"} {
 		if !sections[kind] {
@@ -105,7 +112,8 @@
 	return c, nil
 }
 
-func (c *Config) section(d *parser.Document, s *parser.Section) {
+// readSection reads the keys of one section.
+func (c *Config) readSection(d *parser.Document, s *parser.Section) {
 	switch s.Kind {
 	case "controller":
 		c.Name = d.Optional(s, "name")
@@ -118,31 +126,31 @@
 		c.Callers = d.Address(s, "callers", false)
 		c.Directory = d.Address(s, "directory", false)
 	case "seeds":
-		c.seeds(d, s)
+		c.readSeeds(d, s)
 	case "zones":
 		for zone := range s.Values() {
 			c.Regions[zone] = d.String(s, zone, "")
 		}
 	case "peers":
 		for _, text := range d.List(s, "replicas") {
-			c.peer(d, s, text)
+			c.readPeer(d, s, text)
 		}
 	case "timing":
 		c.Election = d.Duration(s, "election", defaultElection, minElection, maxElection)
 		c.Heartbeat = d.Duration(s, "heartbeat", defaultHeartbeat, time.Millisecond, maxElection)
-		c.ReplaceAfter = d.Duration(s, "replace", defaultReplace, minElection, time.Hour)
+		c.ReplaceAfter = d.Duration(s, "replace", defaultReplaceAfter, minElection, time.Hour)
 		c.Lease = d.Duration(s, "lease", defaultLease, minElection, maxElection)
-		c.StopTimeout = d.Duration(s, "patience", defaultPatience, time.Second, time.Hour)
+		c.StopTimeout = d.Duration(s, "patience", defaultStopTimeout, time.Second, time.Hour)
 	case "quota":
 		c.Quotas = quoter.Tolerance{
-			Window:  d.Duration(s, "window", defaultWindow, minWindow, time.Minute),
+			Window:  d.Duration(s, "window", defaultQuotaWindow, minQuotaWindow, time.Minute),
 			Overage: d.Real(s, "overage", 0, 0, 1),
-			Slack:   d.Real(s, "slack", 0, 0, maxSlack),
+			Slack:   d.Real(s, "slack", 0, 0, maxQuotaSlack),
 		}
 	case "operator":
 		c.TokenFile = d.Optional(s, "token")
 	case "tls":
-		c.tls(d, s)
+		c.readTLS(d, s)
 	case "log":
 		c.LogFormat = d.Choice(s, "format", "logfmt", "logfmt", "json")
 		c.LogLevel = d.Choice(s, "level", "info", "debug", "info", "warn", "error")
@@ -151,7 +159,8 @@
 	}
 }
 
-func (c *Config) tls(d *parser.Document, s *parser.Section) {
+// readTLS reads a section with the key files of one interface.
+func (c *Config) readTLS(d *parser.Document, s *parser.Section) {
 	files := securer.Files{
 		Certificate: d.String(s, "certificate", ""),
 		Key:         d.String(s, "key", ""),
@@ -170,9 +179,9 @@
 	}
 }
 
-// seeds reads the controllers that are known before any has been spoken to. They are named by their IP numbers,
-// and take calls of other controllers at the port of this one.
-func (c *Config) seeds(d *parser.Document, s *parser.Section) {
+// readSeeds reads the addresses of the controllers that are known before the group exists. These controllers are named
+// by their IP numbers and take calls of other controllers at the same port as this one.
+func (c *Config) readSeeds(d *parser.Document, s *parser.Section) {
 	for _, text := range d.List(s, "addresses") {
 		address, err := netip.ParseAddrPort(text)
 		if err != nil {
@@ -182,13 +191,14 @@
 		c.Peers[address.Addr().String()] = netip.AddrPortFrom(address.Addr(), c.Control.Port())
 	}
 	c.Bootstrap = d.Flag(s, "found", false)
-	c.MaxVoters = int(d.Number(s, "seats", defaultSeats, 1, maxControllers))
+	c.MaxVoters = int(d.Number(s, "seats", defaultMaxVoters, 1, maxControllers))
 	if c.Control.IsValid() {
 		c.Name = c.Control.Addr().String()
 	}
 }
 
-func (c *Config) peer(d *parser.Document, s *parser.Section, text string) {
+// readPeer reads a replica's name and address.
+func (c *Config) readPeer(d *parser.Document, s *parser.Section, text string) {
 	name, address, found := strings.Cut(text, "@")
 	parsed, err := netip.ParseAddrPort(address)
 	if !found || name == "" || err != nil {
@@ -201,17 +211,18 @@
 	c.Peers[name] = parsed
 }
 
+// check sets defaults and validates what concerns more than one key.
 func (c *Config) check(d *parser.Document) {
-	c.defaults()
+	c.setDefaults()
 	if c.MaxVoters == 0 {
 		c.MaxVoters = len(c.Peers)
-		c.checkListed(d)
+		c.checkPeers(d)
 	}
 	if c.Control == c.Operator && c.Control.IsValid() {
 		d.Fault(nil, "operator", "an address apart from control", c.Operator.String())
 	}
-	// A heartbeat that comes too seldom lets elections break out without any failure.
-	if c.Heartbeat*electionBeats > c.Election {
+	// If heartbeats are too rare, elections start without any failure.
+	if c.Heartbeat*heartbeatsPerElection > c.Election {
 		d.Fault(nil, "heartbeat", "at most a third of election", c.Heartbeat.String())
 	}
 	c.readToken(d)
@@ -223,7 +234,8 @@
 	}
 }
 
-func (c *Config) checkListed(d *parser.Document) {
+// checkPeers validates the name and the peers where the replicas are listed.
+func (c *Config) checkPeers(d *parser.Document) {
 	if !parser.ValidName(c.Name) {
 		d.Fault(nil, "name", "a name of letters, digits and hyphens", strconv.Quote(c.Name))
 	}
@@ -235,16 +247,17 @@
 	}
 }
 
-func (c *Config) defaults() {
+// setDefaults sets the defaults of sections that are missing.
+func (c *Config) setDefaults() {
 	if c.Election == 0 {
 		c.Election = defaultElection
 		c.Heartbeat = defaultHeartbeat
-		c.ReplaceAfter = defaultReplace
+		c.ReplaceAfter = defaultReplaceAfter
 		c.Lease = defaultLease
-		c.StopTimeout = defaultPatience
+		c.StopTimeout = defaultStopTimeout
 	}
 	if c.Quotas.Window == 0 {
-		c.Quotas.Window = defaultWindow
+		c.Quotas.Window = defaultQuotaWindow
 	}
 	if c.LogFormat == "" {
 		c.LogFormat = "logfmt"
@@ -252,6 +265,7 @@
 	}
 }
 
+// readToken reads the operator token from its file.
 func (c *Config) readToken(d *parser.Document) {
 	if c.TokenFile == "" {
 		return
--- a/controller/internal/config/config_test.go
+++ b/controller/internal/config/config_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-func example(t *testing.T) string {
+func exampleSettings(t *testing.T) string {
 	t.Helper()
 	data, err := os.ReadFile("../../../examples/settings/controller.ini")
 	is.New(t).NoErr(err)
@@ -16,13 +16,13 @@
 }
 
 func TestExampleIsValid(t *testing.T) {
-	_, err := Parse("example", []byte(example(t)))
+	_, err := Parse("example", []byte(exampleSettings(t)))
 	is.New(t).NoErr(err)
 }
 
-// A setting is mistyped. Were it ignored, the program would run with a default that nobody asked for; so
-// every fault is named at once, before anything starts.
-func TestFaultsAreNamed(t *testing.T) {
+// Guards against mistyped settings that are ignored, which would run the program with defaults that nobody asked for.
+// All faults are reported at once, before anything starts.
+func TestAllFaultsAreReported(t *testing.T) {
 	cases := []struct{ name, old, replacement, want string }{
 		{"unknown key", "zone =", "zoen =", "[controller] zoen: expected a key known here"},
 		{"unknown section", "[log]", "[logs]", "got \"logs\""},
@@ -35,7 +35,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			text := example(t)
+			text := exampleSettings(t)
 			changed := strings.Replace(text, c.old, c.replacement, 1)
 			is.New(t).True(changed != text)
 			_, err := Parse("example", []byte(changed))
@@ -50,7 +50,7 @@
 	})
 }
 
-const seeded = `
+const settingsWithSeeds = `
 [controller]
 region = almaty
 zone = almaty-a
@@ -70,20 +70,20 @@
 astana-a = astana
 `
 
-// Controllers that are founded by seeds are named by their IP numbers, since nothing else is known of the others.
+// Controllers that are known from seeds are named by their IP numbers, since nothing else is known of them.
 func TestSeeds(t *testing.T) {
 	is := is.New(t)
-	c, err := Parse("seeded", []byte(seeded))
+	c, err := Parse("seeded", []byte(settingsWithSeeds))
 	is.NoErr(err)
 	is.Equal(c.Name, "10.1.0.37")
 	is.Equal(c.Peers["10.2.0.30"].String(), "10.2.0.30:7660")
 	is.True(c.Bootstrap)
-	is.Equal(c.MaxVoters, defaultSeats)
+	is.Equal(c.MaxVoters, defaultMaxVoters)
 	is.Equal(c.Regions["astana-a"], "astana")
 	for old, replacement := range map[string]string{
 		"10.2.0.30:8146": "10.2.0.30", "found = yes": "found = perhaps", "[seeds]": "[seed]",
 	} {
-		_, err := Parse("seeded", []byte(strings.Replace(seeded, old, replacement, 1)))
+		_, err := Parse("seeded", []byte(strings.Replace(settingsWithSeeds, old, replacement, 1)))
 		is.True(err != nil)
 	}
 }
--- a/controller/internal/courier/courier.go
+++ b/controller/internal/courier/courier.go
@@ -1,5 +1,5 @@
-// Package courier carries messages between controllers. It never blocks its caller: what does not fit a
-// queue is dropped, and the replicator sends it again.
+// Package courier sends the replicator's messages between controllers. It never blocks its caller: messages that do not
+// fit a queue are dropped, and the replicator retransmits them.
 package courier
 
 import (
@@ -23,9 +23,9 @@
 	queueLength = 1024
 	maxBatch    = 128
 	callTimeout = 2 * time.Second
-	// lanes is how many calls to one controller run at once, so that a call which hangs on a silent
-	// connection does not hold up the heartbeats behind it.
-	lanes = 3
+	// callsPerPeer is how many calls to one controller may be in flight at once. A call that hangs on a connection
+	// without answers then does not delay the heartbeats behind it.
+	callsPerPeer = 3
 )
 
 // Courier is the sending service. Set the exported fields before Start.
@@ -44,7 +44,7 @@
 // Name implements kernel.Service.
 func (c *Courier) Name() string { return "courier" }
 
-// Start makes the client.
+// Start creates the HTTP client. It returns an error if that fails.
 func (c *Courier) Start(context.Context, kernel.Finder) error {
 	client, err := c.Dialer.Client()
 	if err != nil {
@@ -56,7 +56,7 @@
 	return nil
 }
 
-// Stop ends all sending.
+// Stop cancels all calls and waits for them to end. Queued messages are dropped.
 func (c *Courier) Stop(context.Context) error {
 	if c.cancel != nil {
 		c.cancel()
@@ -66,10 +66,10 @@
 	return nil
 }
 
-// Health implements kernel.Service.
+// Health implements kernel.Service. It always returns nil.
 func (c *Courier) Health() error { return nil }
 
-// Send queues a message, or drops it when the queue is full.
+// Send queues a message for the controller at an address, or drops it if the queue is full.
 func (c *Courier) Send(address netip.AddrPort, m *wire.Message) {
 	select {
 	case c.queue(address) <- m:
@@ -77,6 +77,7 @@
 	}
 }
 
+// queue returns the queue of an address. If there is none yet, queue creates it and starts its send loops.
 func (c *Courier) queue(address netip.AddrPort) chan *wire.Message {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -86,20 +87,21 @@
 	q := make(chan *wire.Message, queueLength)
 	c.queues[address] = q
 	client := wireconnect.NewReplicasClient(c.client, c.Dialer.URL(address))
-	for range lanes {
-		c.group.Go(func() { c.carry(address, client, q) })
+	for range callsPerPeer {
+		c.group.Go(func() { c.sendLoop(address, client, q) })
 	}
 	return q
 }
 
-func (c *Courier) carry(address netip.AddrPort, client wireconnect.ReplicasClient, q chan *wire.Message) {
+// sendLoop sends queued messages in batches, and logs when the controller's reachability changes.
+func (c *Courier) sendLoop(address netip.AddrPort, client wireconnect.ReplicasClient, q chan *wire.Message) {
 	failing := false
 	for {
-		batch, ok := c.collect(q)
+		batch, ok := c.nextBatch(q)
 		if !ok {
 			return
 		}
-		err := c.call(client, batch)
+		err := c.deliver(client, batch)
 		if (err != nil) != failing {
 			failing = err != nil
 			_ = level.Warn(c.Logger).Log("msg", "peer", "address", address, "reachable", !failing, "err", err)
@@ -107,7 +109,8 @@
 	}
 }
 
-func (c *Courier) collect(q chan *wire.Message) ([]*wire.Message, bool) {
+// nextBatch waits for a message and returns it with others that are queued, up to maxBatch; false if the service stops.
+func (c *Courier) nextBatch(q chan *wire.Message) ([]*wire.Message, bool) {
 	var batch []*wire.Message
 	select {
 	case m := <-q:
@@ -126,7 +129,8 @@
 	return batch, true
 }
 
-func (c *Courier) call(client wireconnect.ReplicasClient, batch []*wire.Message) error {
+// deliver sends a batch in one call. Its messages are not retried here.
+func (c *Courier) deliver(client wireconnect.ReplicasClient, batch []*wire.Message) error {
 	ctx, cancel := context.WithTimeout(c.ctx, callTimeout)
 	defer cancel()
 	_, err := client.Deliver(ctx, connect.NewRequest(&wire.DeliverRequest{Messages: batch}))
--- a/controller/internal/server/metrics.go
+++ b/controller/internal/server/metrics.go
@@ -6,30 +6,31 @@
 	"chervilrail.example/controller/internal/consenter"
 )
 
-// Collector exports the control state's summary.
+// Collector exports a summary of the control state as metrics. Summary may return nil while there is none.
 type Collector struct {
 	Summary func() *consenter.Summary
 }
 
-func describe(name, help string, labels ...string) *prometheus.Desc {
+// newDesc returns the description of a metric of the controller.
+func newDesc(name, help string, labels ...string) *prometheus.Desc {
 	return prometheus.NewDesc("chervilrail_controller_"+name, help, labels, nil)
 }
 
 var (
-	leadsDesc       = describe("leads", "1 while this controller leads under a confirmed lease.")
-	numberDesc      = describe("catalogue_number", "Number of the catalogue in force.")
-	commitDesc      = describe("commit_index", "Highest applied log index.")
-	claimsDesc      = describe("claims", "Claims remembered in the ledger.")
-	entriesDesc     = describe("entries", "Entry instances whose lease goes on.")
-	termDesc        = describe("term", "Current election term.")
-	capDesc         = describe("limit_cap", "Cap of a shared limit.", "resource")
-	outstandingDesc = describe("limit_outstanding", "Most that could be in force of a shared limit.", "resource")
+	leadsDesc           = newDesc("leads", "1 while this controller leads under a confirmed lease.")
+	catalogueNumberDesc = newDesc("catalogue_number", "Number of the catalogue in force.")
+	commitIndexDesc     = newDesc("commit_index", "Highest applied log index.")
+	claimsDesc          = newDesc("claims", "Claims remembered in the ledger.")
+	entriesDesc         = newDesc("entries", "Entry instances whose lease goes on.")
+	termDesc            = newDesc("term", "Current election term.")
+	capDesc             = newDesc("limit_cap", "Cap of a shared limit.", "resource")
+	outstandingDesc     = newDesc("limit_outstanding", "Most that could be in force of a shared limit.", "resource")
 )
 
 // Describe implements prometheus.Collector.
 func (c *Collector) Describe(ch chan<- *prometheus.Desc) {
 	for _, d := range []*prometheus.Desc{
-		leadsDesc, numberDesc, commitDesc, claimsDesc, entriesDesc, termDesc, capDesc, outstandingDesc,
+		leadsDesc, catalogueNumberDesc, commitIndexDesc, claimsDesc, entriesDesc, termDesc, capDesc, outstandingDesc,
 	} {
 		ch <- d
 	}
@@ -49,8 +50,8 @@
 		leads = 1
 	}
 	gauge(leadsDesc, leads)
-	gauge(numberDesc, float64(s.CatalogueNumber))
-	gauge(commitDesc, float64(s.Commit))
+	gauge(catalogueNumberDesc, float64(s.CatalogueNumber))
+	gauge(commitIndexDesc, float64(s.Commit))
 	gauge(claimsDesc, float64(s.Claims))
 	gauge(entriesDesc, float64(s.EntryInstances))
 	gauge(termDesc, float64(s.Term))
--- a/controller/internal/server/server.go
+++ b/controller/internal/server/server.go
@@ -1,4 +1,4 @@
-// Package server offers the control service to other controllers, entry instances and operators.
+// Package server serves the calls of other controllers, entry instances and operators.
 package server
 
 import (
@@ -20,13 +20,13 @@
 )
 
 const (
-	// maxMessage bounds one message between processes; a snapshot of a full ledger must fit.
-	maxMessage  = 128 << 20
-	callTimeout = 5 * time.Second
-	maxID       = 128
+	// maxMessageBytes bounds one message between processes. A snapshot of a full ledger must fit.
+	maxMessageBytes   = 128 << 20
+	callTimeout       = 5 * time.Second
+	maxChangeIDLength = 128
 )
 
-// Consensus is what the handlers need of the control service.
+// Consensus is the replicated control state that the handlers use.
 type Consensus interface {
 	Deliver(ctx context.Context, messages []*wire.Message) error
 	Propose(ctx context.Context, command *wire.Command) (*wire.Result, error)
@@ -35,50 +35,50 @@
 	Get(ctx context.Context) (*wire.GetResponse, error)
 }
 
-// Exchanger shares targets and entry instances with the other controllers, and tells entry instances.
+// Exchanger shares targets and entry instances with the other controllers, and publishes changes to entry instances.
 type Exchanger interface {
 	Exchange(context.Context, *connect.Request[wire.ExchangeRequest]) (*connect.Response[wire.ExchangeResponse], error)
 	Watch(context.Context, *connect.Request[wire.WatchRequest]) (*connect.Response[wire.WatchResponse], error)
 	Tell(context.Context, *connect.Request[wire.TellRequest]) (*connect.Response[wire.TellResponse], error)
 }
 
-// Changer runs commands that another controller passed on.
+// Changer executes commands that other controllers forward.
 type Changer interface {
 	Submit(context.Context, *connect.Request[wire.SubmitRequest]) (*connect.Response[wire.SubmitResponse], error)
 }
 
-// Allocator gives entry instances parts of organisations' quotas.
+// Allocator allots parts of organisations' quotas to entry instances.
 type Allocator interface {
 	Allot(context.Context, *connect.Request[wire.AllotRequest]) (*connect.Response[wire.AllotResponse], error)
 }
 
-// exchange joins them into the service that is called.
-type exchange struct {
+// exchangeService combines its parts into the handler of the exchange service.
+type exchangeService struct {
 	Exchanger
 	Changer
 	Allocator
 }
 
-// Server implements the three services of a controller.
+// Server implements the three services of a controller. Set the exported fields before use.
 type Server struct {
 	Consensus Consensus
 	Exchanger Exchanger
 	Changer   Changer
 	Allocator Allocator
-	// Token guards the operators' service; an empty one leaves it open.
+	// Token is the bearer token that operators must send. If it is empty, the operators' service is open to everyone.
 	Token string
 }
 
-// Control returns the handler for other processes.
+// Control returns the handler of the services for other controllers and entry instances.
 func (s *Server) Control() http.Handler {
 	mux := http.NewServeMux()
 	options := connect.WithHandlerOptions(
-		connect.WithReadMaxBytes(maxMessage),
+		connect.WithReadMaxBytes(maxMessageBytes),
 		connect.WithCompressMinBytes(dialer.CompressFrom),
 	)
 	mux.Handle(wireconnect.NewReplicasHandler(s, options))
 	mux.Handle(wireconnect.NewControlHandler(s, options))
-	mux.Handle(wireconnect.NewExchangeHandler(exchange{s.Exchanger, s.Changer, s.Allocator}, options))
+	mux.Handle(wireconnect.NewExchangeHandler(exchangeService{s.Exchanger, s.Changer, s.Allocator}, options))
 	return mux
 }
 
@@ -86,12 +86,13 @@
 func (s *Server) Operator() *http.ServeMux {
 	mux := http.NewServeMux()
 	path, handler := wireconnect.NewOperateHandler(s, connect.WithReadMaxBytes(2*cataloguer.MaxSize))
-	mux.Handle(path, s.guard(handler))
+	mux.Handle(path, s.authenticate(handler))
 	return mux
 }
 
-// guard compares in constant time: the time of an early exit would tell a caller how much it guessed.
-func (s *Server) guard(next http.Handler) http.Handler {
+// authenticate checks the operator token. It compares in constant time, since the duration of a comparison that stops
+// at the first difference would show a caller how much of the token it has guessed.
+func (s *Server) authenticate(next http.Handler) http.Handler {
 	if s.Token == "" {
 		return next
 	}
@@ -109,12 +110,12 @@
 
 func (*tokenError) Error() string { return "the operator token is missing or wrong" }
 
-// Deliver implements the service between controllers.
+// Deliver implements the replicator's messages between controllers.
 func (s *Server) Deliver(
 	ctx context.Context, r *connect.Request[wire.DeliverRequest],
 ) (*connect.Response[wire.DeliverResponse], error) {
 	if err := s.Consensus.Deliver(ctx, r.Msg.GetMessages()); err != nil {
-		return nil, translate(err)
+		return nil, connectError(err)
 	}
 	return connect.NewResponse(&wire.DeliverResponse{}), nil
 }
@@ -124,22 +125,22 @@
 	ctx context.Context, r *connect.Request[wire.RenewRequest],
 ) (*connect.Response[wire.RenewResponse], error) {
 	if r.Msg.GetNode().GetName() == "" {
-		return nil, invalid("node.name", "a name")
+		return nil, invalidArgument("node.name", "a name")
 	}
 	response, err := s.Consensus.Renew(ctx, r.Msg)
 	if err != nil {
-		return nil, translate(err)
+		return nil, connectError(err)
 	}
 	return connect.NewResponse(response), nil
 }
 
-// Claim implements the ledger's claims.
+// Claim implements claims of keys in the ledger.
 func (s *Server) Claim(
 	ctx context.Context, r *connect.Request[wire.ClaimRequest],
 ) (*connect.Response[wire.ClaimResponse], error) {
 	c := r.Msg.GetClaim()
 	if c.GetScope() == "" || c.GetKey() == "" || c.GetHolder() == "" {
-		return nil, invalid("claim", "scope, key and holder")
+		return nil, invalidArgument("claim", "scope, key and holder")
 	}
 	result, err := s.propose(ctx, &wire.Command{Claim: c})
 	if err != nil {
@@ -148,7 +149,7 @@
 	return connect.NewResponse(&wire.ClaimResponse{Result: result.GetClaim()}), nil
 }
 
-// Settle implements the end of a claim.
+// Settle implements settling a claim in the ledger.
 func (s *Server) Settle(
 	ctx context.Context, r *connect.Request[wire.SettleRequest],
 ) (*connect.Response[wire.SettleResponse], error) {
@@ -159,13 +160,13 @@
 	return connect.NewResponse(&wire.SettleResponse{Result: result.GetClaim()}), nil
 }
 
-// Apply implements a change of the catalogue.
+// Apply implements changes of the catalogue.
 func (s *Server) Apply(
 	ctx context.Context, r *connect.Request[wire.ApplyRequest],
 ) (*connect.Response[wire.ApplyResponse], error) {
 	c := r.Msg.GetChange()
-	if c.GetId() == "" || len(c.GetId()) > maxID {
-		return nil, invalid("change.id", "1 to 128 characters")
+	if c.GetId() == "" || len(c.GetId()) > maxChangeIDLength {
+		return nil, invalidArgument("change.id", "1 to 128 characters")
 	}
 	if _, err := cataloguer.Parse("catalogue", c.GetCatalogue()); err != nil {
 		return nil, connect.NewError(connect.CodeInvalidArgument, err)
@@ -183,33 +184,34 @@
 ) (*connect.Response[wire.GetResponse], error) {
 	response, err := s.Consensus.Get(ctx)
 	if err != nil {
-		return nil, translate(err)
+		return nil, connectError(err)
 	}
 	return connect.NewResponse(response), nil
 }
 
-// Status implements the operators' overview.
+// Status implements the operators' status overview.
 func (s *Server) Status(
 	ctx context.Context, _ *connect.Request[wire.StatusRequest],
 ) (*connect.Response[wire.StatusResponse], error) {
 	response, err := s.Consensus.Status(ctx)
 	if err != nil {
-		return nil, translate(err)
+		return nil, connectError(err)
 	}
 	return connect.NewResponse(response), nil
 }
 
+// propose proposes a command and waits for its result, for callTimeout at most.
 func (s *Server) propose(ctx context.Context, command *wire.Command) (*wire.Result, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	result, err := s.Consensus.Propose(ctx, command)
 	if err != nil {
-		return nil, translate(err)
+		return nil, connectError(err)
 	}
 	return result, nil
 }
 
-func invalid(field, expected string) error {
+func invalidArgument(field, expected string) error {
 	return connect.NewError(connect.CodeInvalidArgument, &fieldError{field, expected})
 }
 
@@ -220,30 +222,31 @@
 
 func (e *fieldError) Error() string { return e.field + ": expected " + e.expected }
 
-// translate gives each kind of refusal its own code and reason, so that callers never read messages.
-func translate(err error) error {
-	var leader *consenter.NotLeaderError
-	var unknown *consenter.OutcomeUnknownError
-	var lost *consenter.ProposalReplacedError
+// connectError gives each kind of error a code and a reason of its own, so that callers need not parse messages.
+func connectError(err error) error {
+	var notLeader *consenter.NotLeaderError
+	var outcomeUnknown *consenter.OutcomeUnknownError
+	var replaced *consenter.ProposalReplacedError
 	var sequence *granter.SequenceError
-	var group *consenter.WrongGroupError
+	var wrongGroup *consenter.WrongGroupError
 	switch {
-	case errors.As(err, &leader):
-		return detail(connect.CodeFailedPrecondition, err, "leader", leader.Address)
-	case errors.As(err, &unknown):
-		return detail(connect.CodeUnknown, err, "unknown", "")
-	case errors.As(err, &lost):
-		return detail(connect.CodeAborted, err, "lost", "")
+	case errors.As(err, &notLeader):
+		return errorWithDetail(connect.CodeFailedPrecondition, err, "leader", notLeader.Address)
+	case errors.As(err, &outcomeUnknown):
+		return errorWithDetail(connect.CodeUnknown, err, "unknown", "")
+	case errors.As(err, &replaced):
+		return errorWithDetail(connect.CodeAborted, err, "lost", "")
 	case errors.As(err, &sequence):
-		return detail(connect.CodeOutOfRange, err, "sequence", "")
-	case errors.As(err, &group):
-		return detail(connect.CodePermissionDenied, err, "group", "")
+		return errorWithDetail(connect.CodeOutOfRange, err, "sequence", "")
+	case errors.As(err, &wrongGroup):
+		return errorWithDetail(connect.CodePermissionDenied, err, "group", "")
 	default:
-		return detail(connect.CodeUnavailable, err, "stalled", "")
+		return errorWithDetail(connect.CodeUnavailable, err, "stalled", "")
 	}
 }
 
-func detail(code connect.Code, err error, reason, leader string) error {
+// errorWithDetail returns an error with a reason and, if it is known, the leader's address.
+func errorWithDetail(code connect.Code, err error, reason, leader string) error {
 	out := connect.NewError(code, err)
 	if d, detailErr := connect.NewErrorDetail(&wire.ErrorDetail{Reason: reason, Leader: leader}); detailErr == nil {
 		out.AddDetail(d)
