--- a/controller/internal/config/config.go
+++ b/controller/internal/config/config.go
@@ -179,7 +179,7 @@
 	}
 }
 
-// readSeeds reads the addresses of the controllers that are known before the group exists. These controllers are named
+// readSeeds reads the addresses of the controllers that are known before any of them has been contacted. They are named
 // by their IP numbers and take calls of other controllers at the same port as this one.
 func (c *Config) readSeeds(d *parser.Document, s *parser.Section) {
 	for _, text := range d.List(s, "addresses") {
