--- a/controller/internal/selector/selector.go
+++ b/controller/internal/selector/selector.go
@@ -15,8 +15,8 @@
 // some clients cache answers three times as long as they may.
 const answerTTL = 2 * time.Second
 
-// maxInstances is the maximum number of entry instances in one answer, which is as many as clients use of one.
-const maxInstances = 64
+// maxAnswers is how many entry instances one answer contains at most: as many as clients use of one.
+const maxAnswers = 64
 
 // InstanceLister lists the recently observed entry instances.
 type InstanceLister interface {
@@ -32,30 +32,30 @@
 // regions are returned only if the region has none. Instances that are stopping are left out. The availability zone is
 // not used.
 func (s *Selector) Select(client netip.Addr, region, _ string, now time.Time) ([]netip.AddrPort, time.Time) {
-	var local, all candidates
+	var near, all group
 	for _, instance := range s.InstanceLister.EntryInstances() {
-		node := instance.GetNode()
-		address, err := netip.ParseAddrPort(node.GetCaller())
-		if err != nil || node.GetLeaving() && !node.GetStarting() {
+		n := instance.GetNode()
+		address, err := netip.ParseAddrPort(n.GetCaller())
+		if err != nil || n.GetLeaving() && !n.GetStarting() {
 			continue
 		}
-		all.add(address, node.GetStarting())
-		if node.GetRegion() == region {
-			local.add(address, node.GetStarting())
+		all.add(address, n.GetStarting())
+		if n.GetRegion() == region {
+			near.add(address, n.GetStarting())
 		}
 	}
-	if local.empty() {
-		local = all
+	if near.empty() {
+		near = all
 	}
-	return truncate(client, local.usable()), now.Add(answerTTL)
+	return truncate(client, near.usable()), now.Add(answerTTL)
 }
 
-// candidates are the entry instances that may serve a client.
-type candidates struct {
+// group is the entry instances that may serve a client.
+type group struct {
 	ready, starting []netip.AddrPort
 }
 
-func (g *candidates) add(a netip.AddrPort, starting bool) {
+func (g *group) add(a netip.AddrPort, starting bool) {
 	if starting {
 		g.starting = append(g.starting, a)
 		return
@@ -63,24 +63,24 @@
 	g.ready = append(g.ready, a)
 }
 
-func (g *candidates) empty() bool { return len(g.ready)+len(g.starting) == 0 }
+func (g *group) empty() bool { return len(g.ready)+len(g.starting) == 0 }
 
 // usable returns the ready instances, and the starting ones too while they are the majority. After a restart of all
 // instances, the first few ready ones would otherwise receive all requests for as long as clients cache their answers,
 // and would have no capacity left for the updates of the controllers.
-func (g *candidates) usable() []netip.AddrPort {
+func (g *group) usable() []netip.AddrPort {
 	if len(g.ready) >= len(g.starting) {
 		return g.ready
 	}
 	return slices.Concat(g.ready, g.starting)
 }
 
-// truncate returns at most maxInstances instances, starting at an offset that differs between clients. If all clients
-// got the start of the list, these instances would carry all load while the others are idle.
+// truncate returns maxAnswers instances at most, starting at a place in the list that differs between clients. If all
+// clients got the start of the list, these instances would carry all load while the others are idle.
 func truncate(client netip.Addr, list []netip.AddrPort) []netip.AddrPort {
-	if len(list) <= maxInstances {
+	if len(list) <= maxAnswers {
 		return list
 	}
-	offset := int(xxhash.Sum64(client.AsSlice()) % uint64(len(list)))
-	return slices.Concat(list[offset:], list[:offset])[:maxInstances]
+	at := int(xxhash.Sum64(client.AsSlice()) % uint64(len(list)))
+	return slices.Concat(list[at:], list[:at])[:maxAnswers]
 }
--- a/controller/internal/selector/selector_test.go
+++ b/controller/internal/selector/selector_test.go
@@ -47,7 +47,7 @@
 			counts := countSelected(&Selector{InstanceLister: instances("r", count)}, "r", 2000)
 			is.Equal(len(counts), count)
 			for _, n := range counts {
-				is.True(n > 2000*min(count, maxInstances)/count/3)
+				is.True(n > 2000*min(count, maxAnswers)/count/3)
 			}
 		})
 	}
