--- a/controller/internal/config/config.go
+++ b/controller/internal/config/config.go
@@ -1,4 +1,4 @@
-// Package config holds every setting of a controller, its default and its check.
+// Package config reads and validates a controller's settings and defines their defaults.
 package config
 
 import (
--- a/controller/internal/exchanger/hosts_test.go
+++ b/controller/internal/exchanger/hosts_test.go
@@ -42,7 +42,7 @@
 	}
 	is.Equal(len(last.GetHosts()), 1)
 	is.Equal(last.GetHosts()[0].GetVersion(), uint64(3))
-	is.Equal(len(next(t, x, "r", last).GetHosts()), 0) // once
+	is.Equal(len(next(t, x, "r", last).GetHosts()), 0) // not repeated
 	is.Equal(len(next(t, x, "elsewhere", nil).GetHosts()), 0)
 }
 
--- a/controller/internal/exchanger/watch.go
+++ b/controller/internal/exchanger/watch.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// buildResponse builds the response for the current state, and reports whether to send it at once: it holds something
+// buildResponse builds the response for the current state, and reports whether to send it at once: there are changes
 // that the instance has not seen, or this controller has lost the majority.
 func (x *Exchanger) buildResponse(now time.Time, r *wire.WatchRequest) (*wire.WatchResponse, bool) {
 	routing := x.Consensus.Routing()
