--- a/controller/internal/config/config.go
+++ b/controller/internal/config/config.go
@@ -57,6 +57,9 @@
 	// Regions maps each availability zone to its region.
 	Regions map[string]string
 
+	// Election is the election timeout, Heartbeat the interval of the leader's heartbeats. ReplaceAfter is how long a
+	// voter must be silent before a new disk of the same name replaces it. Lease is the lease duration of entry
+	// instances and their grants. StopTimeout bounds a planned stop.
 	Election     time.Duration
 	Heartbeat    time.Duration
 	ReplaceAfter time.Duration
