--- a/controller/internal/exchanger/submit.go
+++ b/controller/internal/exchanger/submit.go
@@ -10,8 +10,9 @@
 	"chervilrail.example/core/wire/wireconnect"
 )
 
-// Pass sends a command to the leading controller. After an error the command may or may not have run.
-func (x *Exchanger) Pass(ctx context.Context, command *wire.Command) (*wire.Result, error) {
+// Forward sends a command to the leader. It returns a NoLeaderError if none is known, in which case the command was not
+// sent. After any other error the command may or may not have run.
+func (x *Exchanger) Forward(ctx context.Context, command *wire.Command) (*wire.Result, error) {
 	client, err := x.leader()
 	if err != nil {
 		return nil, err
@@ -23,8 +24,8 @@
 	return response.Msg.GetResult(), nil
 }
 
-// PassQuota sends a question for parts of quotas to the leading controller.
-func (x *Exchanger) PassQuota(ctx context.Context, r *wire.AllotRequest) (*wire.AllotResponse, error) {
+// ForwardAllot sends a request for parts of quotas to the leader. It returns a NoLeaderError if none is known.
+func (x *Exchanger) ForwardAllot(ctx context.Context, r *wire.AllotRequest) (*wire.AllotResponse, error) {
 	client, err := x.leader()
 	if err != nil {
 		return nil, err
@@ -36,10 +37,11 @@
 	return response.Msg, nil
 }
 
+// leader returns a client of the leader.
 func (x *Exchanger) leader() (wireconnect.ExchangeClient, error) {
-	address, err := netip.ParseAddrPort(x.Mind.Routing().LeaderAddress())
+	address, err := netip.ParseAddrPort(x.Consensus.Routing().LeaderAddress())
 	if err != nil {
-		return nil, &LeaderlessError{}
+		return nil, &NoLeaderError{}
 	}
 	return wireconnect.NewExchangeClient(x.client, x.Dialer.URL(address)), nil
 }
--- a/entry/internal/carrier/carrier_test.go
+++ b/entry/internal/carrier/carrier_test.go
@@ -43,7 +43,7 @@
 }
 
 func notExecutedAnswer(status int) scriptedAttempt {
-	return scriptedAttempt{status: status, header: http.Header{translator.HeaderUnrun: {"1"}}}
+	return scriptedAttempt{status: status, header: http.Header{translator.HeaderNotRun: {"1"}}}
 }
 
 // fakeSender gives each attempt the next scripted outcome; the last one repeats.
@@ -72,7 +72,7 @@
 		return nil, e.outcome, errors.New("scripted")
 	}
 	header := e.header.Clone()
-	header.Set(translator.HeaderAttempt, r.Header.Get(translator.HeaderAttempt))
+	header.Set(translator.HeaderAttemptID, r.Header.Get(translator.HeaderAttemptID))
 	return &pooler.Answer{Status: e.status, Header: header, Body: []byte("body")}, pooler.Answered, nil
 }
 
@@ -148,7 +148,7 @@
 		Table: planner.NewTable(testPlan()), Targets: map[string][]placer.Spec{"listings": specs}, InstanceCount: 1,
 	}
 	c := &Carrier{
-		Self: "e1", Locator: soleInstance{}, Quotas: unlimitedQuotas{}, Region: "r", Zone: "z", Codec: translator.Face{}, Views: viewsWith(view), Sender: s,
+		Self: "e1", Locator: soleInstance{}, Quotas: unlimitedQuotas{}, Region: "r", Zone: "z", Codec: translator.Codec{}, Views: viewsWith(view), Sender: s,
 		Quarantine: &quarantiner.Quarantiner{Confirm: 3}, Logger: log.NewNopLogger(), Metrics: NewMetrics(prometheus.NewRegistry()),
 	}
 	is.New(t).NoErr(c.Start(context.Background(), nil))
@@ -160,7 +160,7 @@
 func sendRequest(c *Carrier, method, path string) *httptest.ResponseRecorder {
 	r := httptest.NewRequest(method, "http://h.example"+path, strings.NewReader("in"))
 	r.RequestURI = path
-	r.Header.Set(translator.HeaderAttempt, "a1")
+	r.Header.Set(translator.HeaderAttemptID, "a1")
 	r.Header.Set(translator.HeaderDeadline, "1000")
 	w := httptest.NewRecorder()
 	c.ServeHTTP(w, r)
@@ -248,7 +248,7 @@
 			ctx, cancel := context.WithCancel(context.Background())
 			r := httptest.NewRequestWithContext(ctx, http.MethodPost, "http://h.example"+path, nil)
 			r.RequestURI = path
-			r.Header.Set(translator.HeaderAttempt, "a1")
+			r.Header.Set(translator.HeaderAttemptID, "a1")
 			time.AfterFunc(30*time.Millisecond, cancel)
 			started := time.Now()
 			c.ServeHTTP(httptest.NewRecorder(), r)
--- a/entry/internal/carrier/organisation_test.go
+++ b/entry/internal/carrier/organisation_test.go
@@ -63,7 +63,7 @@
 	r := httptest.NewRequest(http.MethodPost, "http://h.example"+path, strings.NewReader("in"))
 	r.RequestURI = path
 	r.Header = header.Clone()
-	r.Header.Set(translator.HeaderAttempt, "a1")
+	r.Header.Set(translator.HeaderAttemptID, "a1")
 	r.Header.Set(translator.HeaderDeadline, "1000")
 	w := httptest.NewRecorder()
 	c.ServeHTTP(w, r)
@@ -92,7 +92,7 @@
 		{"known on a public route", "/public/1", key(secret), 200, "acme"},
 		{"unknown key, no route", "/other/1", key("guess"), 404, ""},
 		{"a forged organisation", "/once/1", http.Header{
-			translator.HeaderSecret: {secret}, translator.HeaderTenant: {"other"},
+			translator.HeaderSecret: {secret}, translator.HeaderOrganisation: {"other"},
 		}, 200, "acme"},
 	}
 	for _, test := range cases {
@@ -104,7 +104,7 @@
 			is.Equal(w.Code, test.status)
 			is.Equal(len(s.sent) == 1, test.status == 200)
 			if test.status == 200 {
-				is.Equal(s.sent[0].Header.Get(translator.HeaderTenant), test.organisation)
+				is.Equal(s.sent[0].Header.Get(translator.HeaderOrganisation), test.organisation)
 				is.Equal(s.sent[0].Header.Get(translator.HeaderSecret), "")
 			}
 		})
--- a/entry/internal/cli/plan.go
+++ b/entry/internal/cli/plan.go
@@ -67,7 +67,7 @@
 		OnLosses: func(losses []*wire.Loss) { applyLosses(quarantine, losses) },
 	}
 	p.dispatcher = &carrier.Carrier{
-		Self: settings.Name, Region: settings.Region, Zone: settings.Zone, Codec: translator.Face{}, Views: p.watcher,
+		Self: settings.Name, Region: settings.Region, Zone: settings.Zone, Codec: translator.Codec{}, Views: p.watcher,
 		Sender: &pooler.Pooler{}, Quarantine: quarantine, Logger: p.logger, Metrics: carrier.NewMetrics(p.registry),
 	}
 	p.locator = &locator.Locator{
--- a/standin/internal/soaker/witness.go
+++ b/standin/internal/soaker/witness.go
@@ -70,11 +70,11 @@
 	case http.StatusNotFound, http.StatusBadRequest:
 		w.note("%s was denied with %d", a.ID, a.Status)
 	case http.StatusOK:
-		if a.Err == nil && !a.Whole {
+		if a.Err == nil && !a.Complete {
 			w.note("%s got a success that no target signed", a.ID)
 		}
 	}
-	if !a.Whole {
+	if !a.Complete {
 		return
 	}
 	w.whole++
@@ -149,7 +149,7 @@
 		}
 	}
 	for _, d := range w.left {
-		late := d.target.Last().Sub(d.at)
+		late := d.target.LastRequest().Sub(d.at)
 		if late > drainTime+drainSlack && !d.excuse {
 			w.note("%s got a request %s after its leaving was acknowledged", d.target.ID, late)
 		}
--- a/standin/internal/trials/platform_test.go
+++ b/standin/internal/trials/platform_test.go
@@ -46,7 +46,9 @@
 	until(t, "the first plan is in force", func() bool {
 		return f.operator.Put(context.Background(), speaker.Plan(1, 0, service)) == http.StatusOK
 	})
-	until(t, "a request is served", func() bool { return f.client(0).Send(context.Background(), http.MethodGet, "/safe/1", "k", "").Whole })
+	until(t, "a request is served", func() bool {
+		return f.client(0).Send(context.Background(), http.MethodGet, "/safe/1", "k", "").Complete
+	})
 	return f
 }
 
@@ -100,7 +102,7 @@
 	t.Helper()
 	is := is.New(t)
 	for _, a := range answers {
-		if !a.Whole {
+		if !a.Complete {
 			t.Errorf("%s ended with %d %q: %v", a.ID, a.Status, a.Body, a.Err)
 		}
 	}
@@ -148,7 +150,7 @@
 		is.NoErr(err)
 		time.Sleep(3 * time.Second)
 		f.check(t, stop())
-		is.True(f.targets[0].Last().Sub(acked) < 2500*time.Millisecond)
+		is.True(f.targets[0].LastRequest().Sub(acked) < 2500*time.Millisecond)
 	})
 	t.Run("a zone is emptied and taken back", func(t *testing.T) {
 		is := is.New(t)
@@ -157,9 +159,9 @@
 		is.Equal(f.operator.Evacuate(ctx, zone, true), http.StatusOK)
 		acked := time.Now()
 		time.Sleep(2 * time.Second)
-		is.True(f.targets[1].Last().Sub(acked) < time.Second)
+		is.True(f.targets[1].LastRequest().Sub(acked) < time.Second)
 		is.Equal(f.operator.Evacuate(ctx, zone, false), http.StatusOK)
-		until(t, "the emptied zone is used again", func() bool { return f.targets[1].Last().After(acked.Add(2 * time.Second)) })
+		until(t, "the emptied zone is used again", func() bool { return f.targets[1].LastRequest().After(acked.Add(2 * time.Second)) })
 		f.check(t, stop())
 	})
 	t.Run("entry instances are stopped and reloaded in turn", func(t *testing.T) {
@@ -221,7 +223,7 @@
 	f.checkOnce(t)
 	whole := 0
 	for _, a := range answers {
-		if a.Whole {
+		if a.Complete {
 			whole++
 		}
 		if a.Status == http.StatusServiceUnavailable {
