--- a/standin/internal/backend/announcer.go
+++ b/standin/internal/backend/announcer.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	announceEvery   = time.Second
-	announceTimeout = 500 * time.Millisecond
+	announceInterval = time.Second
+	announceTimeout  = 500 * time.Millisecond
 )
 
 // Announcer tells entry instances about a backend. Set the exported fields before Run.
 type Announcer struct {
-	Backend *Backend
+	Target  *Target
 	Entries []netip.AddrPort
 	Service string
 	Region  string
@@ -40,7 +40,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(announceEvery):
+		case <-time.After(announceInterval):
 		}
 	}
 }
@@ -51,22 +51,22 @@
 	defer a.mu.Unlock()
 	a.sequence++
 	body, err := json.Marshal(map[string]any{
-		"name":        a.Backend.Name,
+		"name":        a.Target.Name,
 		"incarnation": a.incarnation,
 		"sequence":    a.sequence,
 		"service":     a.Service,
 		"address":     a.Address.String(),
 		"region":      a.Region,
 		"zone":        a.Zone,
-		"slots":       a.Backend.Slots,
-		"load":        a.Backend.Load(),
+		"slots":       a.Target.Slots,
+		"load":        a.Target.Load(),
 		"state":       state,
 	})
 	if err != nil {
 		return false
 	}
 	for range a.Entries {
-		if a.put(a.Entries[a.next%len(a.Entries)], body) {
+		if a.send(a.Entries[a.next%len(a.Entries)], body) {
 			return true
 		}
 		a.next++
@@ -74,7 +74,7 @@
 	return false
 }
 
-func (a *Announcer) put(entry netip.AddrPort, body []byte) bool {
+func (a *Announcer) send(entry netip.AddrPort, body []byte) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), announceTimeout)
 	defer cancel()
 	url := "http://" + entry.String() + "/announce"
--- a/standin/internal/backend/backend.go
+++ b/standin/internal/backend/backend.go
@@ -17,18 +17,18 @@
 	headerOutcome = "Chervilrail-Outcome"
 	headerKey     = "Idempotency-Key"
 	exitCrash     = 3
-	halfSize      = 1 << 20
+	truncatedSize = 1 << 20
 )
 
-// Backend serves requests. Set the exported fields before use.
-type Backend struct {
+// Target serves requests. Set the exported fields before use.
+type Target struct {
 	Name  string
 	Slots int32
 	// Work is how long a request takes unless its query says otherwise.
 	Work time.Duration
 
 	running atomic.Int32
-	most    atomic.Int32
+	peak    atomic.Int32
 	served  atomic.Int64
 	shed    atomic.Int64
 	mu      sync.Mutex
@@ -40,20 +40,20 @@
 	Name   string         `json:"name"`
 	Served int64          `json:"served"`
 	Shed   int64          `json:"shed"`
-	Most   int32          `json:"most"`
+	Peak   int32          `json:"most"`
 	Runs   map[string]int `json:"runs"`
 }
 
 // Load returns how many requests run.
-func (b *Backend) Load() int32 { return b.running.Load() }
+func (b *Target) Load() int32 { return b.running.Load() }
 
 // ServeHTTP implements http.Handler.
-func (b *Backend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (b *Target) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/stats" {
-		b.report(w)
+		b.serveStats(w)
 		return
 	}
-	if !b.enter() {
+	if !b.acquireSlot() {
 		b.shed.Add(1)
 		w.Header().Set(headerOutcome, "not-run")
 		http.Error(w, "no slot", http.StatusServiceUnavailable)
@@ -63,33 +63,33 @@
 	b.run(w, r)
 }
 
-func (b *Backend) enter() bool {
+func (b *Target) acquireSlot() bool {
 	n := b.running.Add(1)
 	if n > b.Slots {
 		b.running.Add(-1)
 		return false
 	}
-	for most := b.most.Load(); n > most && !b.most.CompareAndSwap(most, n); {
-		most = b.most.Load()
+	for peak := b.peak.Load(); n > peak && !b.peak.CompareAndSwap(peak, n); {
+		peak = b.peak.Load()
 	}
 	return true
 }
 
-func (b *Backend) run(w http.ResponseWriter, r *http.Request) {
+func (b *Target) run(w http.ResponseWriter, r *http.Request) {
 	switch r.URL.Path {
 	case "/crash":
 		os.Exit(exitCrash)
 	case "/half":
-		b.half(w)
+		b.serveTruncated(w)
 		return
 	}
-	b.count(r.Header.Get(headerKey))
+	b.countRun(r.Header.Get(headerKey))
 	received, err := io.Copy(io.Discard, r.Body)
 	if err != nil {
 		http.Error(w, "body ended early", http.StatusBadRequest)
 		return
 	}
-	time.Sleep(b.workOf(r))
+	time.Sleep(b.workTime(r))
 	b.served.Add(1)
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(Reply{
@@ -108,7 +108,7 @@
 	Echo     string `json:"echo,omitempty"`
 }
 
-func (b *Backend) workOf(r *http.Request) time.Duration {
+func (b *Target) workTime(r *http.Request) time.Duration {
 	text := r.URL.Query().Get("work")
 	if work, err := time.ParseDuration(text); err == nil {
 		return work
@@ -116,7 +116,7 @@
 	return b.Work
 }
 
-func (b *Backend) count(key string) {
+func (b *Target) countRun(key string) {
 	if key == "" {
 		return
 	}
@@ -128,21 +128,21 @@
 	b.runs[key]++
 }
 
-// half promises a long answer and breaks off in the middle of it.
-func (b *Backend) half(w http.ResponseWriter) {
-	w.Header().Set("Content-Length", strconv.Itoa(halfSize))
-	_, _ = w.Write(make([]byte, halfSize/2))
+// serveTruncated promises a long answer and breaks off in the middle of it.
+func (b *Target) serveTruncated(w http.ResponseWriter) {
+	w.Header().Set("Content-Length", strconv.Itoa(truncatedSize))
+	_, _ = w.Write(make([]byte, truncatedSize/2))
 	panic(http.ErrAbortHandler)
 }
 
-func (b *Backend) report(w http.ResponseWriter) {
+func (b *Target) serveStats(w http.ResponseWriter) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	_ = json.NewEncoder(w).Encode(Report{
 		Name:   b.Name,
 		Served: b.served.Load(),
 		Shed:   b.shed.Load(),
-		Most:   b.most.Load(),
+		Peak:   b.peak.Load(),
 		Runs:   b.runs,
 	})
 }
--- a/standin/internal/cli/cli.go
+++ b/standin/internal/cli/cli.go
@@ -68,9 +68,9 @@
 	if err != nil {
 		return err
 	}
-	b := &backend.Backend{Name: c.String("name"), Slots: int32(c.Int("slots")), Work: c.Duration("work")}
+	b := &backend.Target{Name: c.String("name"), Slots: int32(c.Int("slots")), Work: c.Duration("work")}
 	a := &backend.Announcer{
-		Backend: b,
+		Target:  b,
 		Service: c.String("service"),
 		Region:  c.String("region"),
 		Zone:    c.String("zone"),
--- a/standin/internal/demo/demo.go
+++ b/standin/internal/demo/demo.go
@@ -44,10 +44,10 @@
 // Run runs the demo; the error says what was not as it should be.
 func Run(out io.Writer, o Options) error {
 	d := &demo{out: out, options: o, system: &starter.System{
-		Programs: o.Programs,
-		Folder:   o.Folder,
-		Net:      demoNet,
-		Answer:   time.Second,
+		Programs:       o.Programs,
+		Folder:         o.Folder,
+		Net:            demoNet,
+		AnswerLifetime: time.Second,
 		Places: []starter.Place{
 			{Region: "almaty", Zone: "almaty-a"},
 			{Region: "almaty", Zone: "almaty-b"},
@@ -107,7 +107,7 @@
 		if i%2 == 1 {
 			service = "bookings"
 		}
-		_, err := d.system.StartBackend(starter.BackendSettings{Service: service, Slots: 3, Work: 3 * time.Millisecond})
+		_, err := d.system.StartTarget(starter.TargetSettings{Service: service, Slots: 3, Work: 3 * time.Millisecond})
 		if err != nil {
 			return err
 		}
@@ -127,7 +127,7 @@
 					break
 				}
 				if time.Now().After(deadline) {
-					return &starter.StuckError{Process: "targets of " + service}
+					return &starter.TimeoutError{Awaited: "targets of " + service}
 				}
 				time.Sleep(50 * time.Millisecond)
 			}
@@ -140,7 +140,7 @@
 func (d *demo) caller(service string) *loader.Caller {
 	c := &loader.Caller{Service: service, Client: netip.AddrFrom4([4]byte{10, 1, 0, 7})}
 	for i := range entries {
-		c.Lookups = append(c.Lookups, d.system.CallerURL(i))
+		c.LookupURLs = append(c.LookupURLs, d.system.CallerURL(i))
 	}
 	return c
 }
@@ -215,8 +215,8 @@
 
 func (d *demo) runs(key string) int {
 	total := 0
-	for i := range d.system.Backends {
-		response, err := http.Get(d.system.BackendURL(i) + "/stats")
+	for i := range d.system.Targets {
+		response, err := http.Get(d.system.TargetURL(i) + "/stats")
 		if err != nil {
 			continue
 		}
--- a/standin/internal/loader/caller.go
+++ b/standin/internal/loader/caller.go
@@ -14,16 +14,16 @@
 )
 
 const (
-	lookupTimeout = 2 * time.Second
-	perHost       = 512
+	lookupTimeout    = 2 * time.Second
+	idleConnsPerHost = 512
 )
 
 // Caller is one client of a service. Set the exported fields before use; it is safe for concurrent use.
 type Caller struct {
-	// Lookups are the base addresses that a caller knows beforehand.
-	Lookups []string
-	Service string
-	Client  netip.Addr
+	// LookupURLs are the base addresses that a caller knows beforehand.
+	LookupURLs []string
+	Service    string
+	Client     netip.Addr
 
 	once     sync.Once
 	client   *http.Client
@@ -43,12 +43,12 @@
 
 // Answer is what came back.
 type Answer struct {
-	Entry   string
-	Status  int
-	Outcome string
-	Retry   string
-	Body    string
-	Err     error
+	Entry      string
+	Status     int
+	Outcome    string
+	RetryAfter string
+	Body       string
+	Err        error
 }
 
 type lookupAnswer struct {
@@ -60,7 +60,7 @@
 
 func (c *Caller) http() *http.Client {
 	c.once.Do(func() {
-		c.client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: perHost}}
+		c.client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: idleConnsPerHost}}
 	})
 	return c.client
 }
@@ -72,12 +72,12 @@
 	if time.Now().Before(c.deadline) {
 		return c.entries, nil
 	}
-	var last error
-	known := append(append([]string{}, c.entries...), c.Lookups...)
-	for _, base := range known {
+	var lastErr error
+	bases := append(append([]string{}, c.entries...), c.LookupURLs...)
+	for _, base := range bases {
 		answer, err := c.lookup(ctx, base)
 		if err != nil {
-			last = err
+			lastErr = err
 			continue
 		}
 		c.deadline = answer.Deadline
@@ -87,7 +87,7 @@
 		}
 		return c.entries, nil
 	}
-	return nil, last
+	return nil, lastErr
 }
 
 func (c *Caller) lookup(ctx context.Context, base string) (*lookupAnswer, error) {
@@ -157,12 +157,12 @@
 	defer func() { _ = response.Body.Close() }()
 	body, err := io.ReadAll(response.Body)
 	return Answer{
-		Entry:   base,
-		Status:  response.StatusCode,
-		Outcome: response.Header.Get("Chervilrail-Outcome"),
-		Retry:   response.Header.Get("Retry-After"),
-		Body:    string(body),
-		Err:     err,
+		Entry:      base,
+		Status:     response.StatusCode,
+		Outcome:    response.Header.Get("Chervilrail-Outcome"),
+		RetryAfter: response.Header.Get("Retry-After"),
+		Body:       string(body),
+		Err:        err,
 	}
 }
 
--- a/standin/internal/measurer/idle.go
+++ b/standin/internal/measurer/idle.go
@@ -25,7 +25,7 @@
 
 // idle measures what control alone costs while no caller asks for anything.
 func (m *measurer) idle() error {
-	fmt.Fprintf(m.out, "\nControl alone, %d entry instances, %d targets, over %s\n\n", entries, len(m.system.Backends), idleTime)
+	fmt.Fprintf(m.out, "\nControl alone, %d entry instances, %d targets, over %s\n\n", entries, len(m.system.Targets), idleTime)
 	fmt.Fprintln(m.out, "| role | share of a core, mean | busiest | resident memory, most |\n|---|---|---|---|")
 	roles := []struct {
 		name      string
--- a/standin/internal/measurer/measurer.go
+++ b/standin/internal/measurer/measurer.go
@@ -67,7 +67,7 @@
 	// The figures are about cost, not about the example's limit on bookings.
 	unlimited := strings.ReplaceAll(string(text), "rate = 500", "rate = 0")
 	m := &measurer{out: out, catalogue: unlimited, system: &starter.System{
-		Programs: o.Programs, Folder: o.Folder, Net: measureNet, Answer: time.Second, Sample: 1000,
+		Programs: o.Programs, Folder: o.Folder, Net: measureNet, AnswerLifetime: time.Second, LogSample: 1000,
 		Places: []starter.Place{
 			{Region: "almaty", Zone: "almaty-a"},
 			{Region: "astana", Zone: "astana-a"},
@@ -102,8 +102,8 @@
 		if i >= 3 {
 			service = "bookings"
 		}
-		b := starter.BackendSettings{Service: service, Slots: 64, Work: 0}
-		if _, err := m.system.StartBackend(b); err != nil {
+		b := starter.TargetSettings{Service: service, Slots: 64, Work: 0}
+		if _, err := m.system.StartTarget(b); err != nil {
 			return err
 		}
 	}
@@ -126,7 +126,7 @@
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	return &starter.StuckError{Process: "service " + service}
+	return &starter.TimeoutError{Awaited: "service " + service}
 }
 
 func newHistogram() *hdrhistogram.Histogram {
@@ -147,7 +147,7 @@
 // each request's time counts from when it was due.
 func (m *measurer) latency() error {
 	m.head(fmt.Sprintf("Latency at %d requests/s over %s, GET, target work 0", rate, runTime))
-	direct, failed := openLoop(m.system.BackendURL(0), rate, runTime)
+	direct, failed := openLoop(m.system.TargetURL(0), rate, runTime)
 	m.row("target directly", direct, failed)
 	through, failed := openLoop(m.system.CallerURL(0), rate, runTime)
 	m.row("through an entry instance", through, failed)
@@ -303,7 +303,7 @@
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	return &starter.StuckError{Process: "change"}
+	return &starter.TimeoutError{Awaited: "change"}
 }
 
 func (m *measurer) leader() int {
@@ -344,7 +344,7 @@
 		start := time.Now()
 		for !m.confirmed(skip) {
 			if time.Since(start) > patience {
-				return nil, &starter.StuckError{Process: "confirmation"}
+				return nil, &starter.TimeoutError{Awaited: "confirmation"}
 			}
 			time.Sleep(2 * time.Millisecond)
 		}
@@ -371,13 +371,13 @@
 	for range killRounds {
 		old := m.leader()
 		if old < 0 {
-			return &starter.StuckError{Process: "leader"}
+			return &starter.TimeoutError{Awaited: "leader"}
 		}
 		m.system.Controllers[old].Kill()
 		start := time.Now()
 		for m.status(old) == nil {
 			if time.Since(start) > patience {
-				return &starter.StuckError{Process: "election"}
+				return &starter.TimeoutError{Awaited: "election"}
 			}
 			time.Sleep(5 * time.Millisecond)
 		}
--- a/standin/internal/relayer/relayer.go
+++ b/standin/internal/relayer/relayer.go
@@ -18,16 +18,16 @@
 
 	socket net.Listener
 	// delay is how long each piece is held, in nanoseconds.
-	delay atomic.Int64
-	mu    sync.Mutex
-	open  []*link
+	delay     atomic.Int64
+	mu        sync.Mutex
+	openLinks []*link
 }
 
 // link is one connection through the relay.
 type link struct {
-	near, far net.Conn
-	// mute swallows what comes from the target, deaf what goes there.
-	mute, deaf atomic.Bool
+	caller, target net.Conn
+	// dropAnswers swallows what comes from the target, dropRequests what goes there.
+	dropAnswers, dropRequests atomic.Bool
 }
 
 // Start listens on a free port of a host and returns the address.
@@ -53,7 +53,7 @@
 // Reset resets the open connections.
 func (r *Relay) Reset() {
 	for _, l := range r.links() {
-		for _, c := range []net.Conn{l.near, l.far} {
+		for _, c := range []net.Conn{l.caller, l.target} {
 			if tcp, ok := c.(*net.TCPConn); ok {
 				_ = tcp.SetLinger(0)
 			}
@@ -62,18 +62,18 @@
 	}
 }
 
-// Silence makes the open connections swallow everything: both ends still stand, new connections work.
-func (r *Relay) Silence() {
+// DropAll makes the open connections swallow everything: both ends still stand, new connections work.
+func (r *Relay) DropAll() {
 	for _, l := range r.links() {
-		l.mute.Store(true)
-		l.deaf.Store(true)
+		l.dropAnswers.Store(true)
+		l.dropRequests.Store(true)
 	}
 }
 
-// Mute makes the open connections swallow the target's answers only.
-func (r *Relay) Mute() {
+// DropAnswers makes the open connections swallow the target's answers only.
+func (r *Relay) DropAnswers() {
 	for _, l := range r.links() {
-		l.mute.Store(true)
+		l.dropAnswers.Store(true)
 	}
 }
 
@@ -83,36 +83,36 @@
 func (r *Relay) links() []*link {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return append([]*link{}, r.open...)
+	return append([]*link{}, r.openLinks...)
 }
 
 func (r *Relay) accept() {
 	for {
-		near, err := r.socket.Accept()
+		caller, err := r.socket.Accept()
 		if err != nil {
 			return
 		}
-		far, err := net.Dial("tcp", r.Target)
+		target, err := net.Dial("tcp", r.Target)
 		if err != nil {
-			_ = near.Close()
+			_ = caller.Close()
 			continue
 		}
-		l := &link{near: near, far: far}
+		l := &link{caller: caller, target: target}
 		r.mu.Lock()
-		r.open = append(r.open, l)
+		r.openLinks = append(r.openLinks, l)
 		r.mu.Unlock()
-		go r.pass(l, far, near, &l.deaf)
-		go r.pass(l, near, far, &l.mute)
+		go r.transfer(l, target, caller, &l.dropRequests)
+		go r.transfer(l, caller, target, &l.dropAnswers)
 	}
 }
 
-// pass copies one way until either end closes.
-func (r *Relay) pass(l *link, to, from net.Conn, swallow *atomic.Bool) {
-	defer r.forget(l)
+// transfer copies one way until either end closes.
+func (r *Relay) transfer(l *link, to, from net.Conn, discard *atomic.Bool) {
+	defer r.remove(l)
 	buffer := make([]byte, bufferSize)
 	for {
 		n, err := from.Read(buffer)
-		if swallow.Load() {
+		if discard.Load() {
 			_, _ = io.Copy(io.Discard, from)
 			return
 		}
@@ -127,12 +127,12 @@
 	}
 }
 
-func (r *Relay) forget(l *link) {
+func (r *Relay) remove(l *link) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for i, o := range r.open {
+	for i, o := range r.openLinks {
 		if o == l {
-			r.open = append(r.open[:i], r.open[i+1:]...)
+			r.openLinks = append(r.openLinks[:i], r.openLinks[i+1:]...)
 			return
 		}
 	}
--- a/standin/internal/soaker/faults.go
+++ b/standin/internal/soaker/faults.go
@@ -13,28 +13,28 @@
 )
 
 const (
-	// stopTime is how long a planned stop may take.
-	stopTime = 12 * time.Second
-	// restartPause is how long a killed process is gone.
-	restartPause = 300 * time.Millisecond
+	// stopTimeout is how long a planned stop may take.
+	stopTimeout = 12 * time.Second
+	// restartDelay is how long a killed process is gone.
+	restartDelay = 300 * time.Millisecond
 	// linkDelayTime is how long a harmed link holds each piece.
 	linkDelayTime = 120 * time.Millisecond
 )
 
-// standing is a target with the relay before it.
-type standing struct {
+// relayedTarget is a target with the relay before it.
+type relayedTarget struct {
 	*speaker.Target
-	relay *relayer.Relay
-	gone  bool
+	relay   *relayer.Relay
+	retired bool
 }
 
 func (s *Soak) startTarget() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.started++
+	s.startedTargets++
 	relay := &relayer.Relay{}
-	t := &standing{relay: relay, Target: &speaker.Target{
-		ID: fmt.Sprintf("t%d", s.started), Service: service, Zone: s.system.Places[s.started%len(s.system.Places)].Zone,
+	t := &relayedTarget{relay: relay, Target: &speaker.Target{
+		ID: fmt.Sprintf("t%d", s.startedTargets), Service: service, Zone: s.system.Places[s.startedTargets%len(s.system.Places)].Zone,
 		Slots: 3, Work: targetWork, Controllers: s.system.PlatformURLs(),
 		Through: func(address string) (string, error) {
 			relay.Target = address
@@ -45,198 +45,198 @@
 	return t.Start("127.0.0.1")
 }
 
-func (s *Soak) allTargets() []*standing {
+func (s *Soak) allTargets() []*relayedTarget {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]*standing{}, s.targets...)
+	return append([]*relayedTarget{}, s.targets...)
 }
 
-// standingTarget picks one of the targets that are not gone; with gone it is marked so.
-func (s *Soak) standingTarget(which int, gone bool) *standing {
+// pickTarget picks one of the targets that are not gone; with gone it is marked so.
+func (s *Soak) pickTarget(index int, retired bool) *relayedTarget {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var here []*standing
+	var candidates []*relayedTarget
 	for _, t := range s.targets {
-		if !t.gone {
-			here = append(here, t)
+		if !t.retired {
+			candidates = append(candidates, t)
 		}
 	}
-	t := here[which%len(here)]
-	t.gone = t.gone || gone
+	t := candidates[index%len(candidates)]
+	t.retired = t.retired || retired
 	return t
 }
 
-// take reserves a process for one fault; false means that another one has it.
-func (s *Soak) take(name string) bool {
+// reserve reserves a process for one fault; false means that another one has it.
+func (s *Soak) reserve(name string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.busy[name] {
+	if s.reserved[name] {
 		return false
 	}
-	s.busy[name] = true
+	s.reserved[name] = true
 	return true
 }
 
-func (s *Soak) give(name string) {
+func (s *Soak) release(name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.busy, name)
+	delete(s.reserved, name)
 }
 
-// play runs the schedule and waits until all its faults are over.
-func (s *Soak) play(ctx context.Context) {
+// runSchedule runs the schedule and waits until all its faults are over.
+func (s *Soak) runSchedule(ctx context.Context) {
 	start := time.Now()
-	ending := make(chan struct{}, len(kinds)*int(s.Length/minGap))
+	finished := make(chan struct{}, len(kinds)*int(s.Length/minGap))
 	running := 0
 	for _, f := range schedule(s.Seed, s.Length) {
 		time.Sleep(time.Until(start.Add(f.at)))
 		if ctx.Err() != nil {
 			break
 		}
-		s.Print(fmt.Sprintf("%6.2f s  %s %d for %s", time.Since(start).Seconds(), f.kind, f.which, f.span))
+		s.Print(fmt.Sprintf("%6.2f s  %s %d for %s", time.Since(start).Seconds(), f.kind, f.index, f.duration))
 		running++
 		go func() {
-			s.strike(ctx, f)
-			ending <- struct{}{}
+			s.inject(ctx, f)
+			finished <- struct{}{}
 		}()
 	}
 	for range running {
-		<-ending
+		<-finished
 	}
 }
 
-func (s *Soak) strike(ctx context.Context, f fault) {
+func (s *Soak) inject(ctx context.Context, f fault) {
 	switch f.kind {
 	case entryKill, entryStop, entryFreeze, entryReload:
-		s.strikeEntry(f)
+		s.injectEntryFault(f)
 	case controllerKill, controllerFreeze, controllerWipe:
-		s.strikeController(f)
+		s.injectControllerFault(f)
 	case controllerKillAll:
 		s.killControllers()
 	case targetKill, targetLeave:
-		s.strikeTarget(ctx, f)
+		s.injectTargetFault(ctx, f)
 	case linkReset, linkSilence, linkMute, linkDelay:
-		s.strikeLink(f)
+		s.injectLinkFault(f)
 	case evacuation:
 		s.evacuate(ctx, f)
 	}
 }
 
-func (s *Soak) strikeEntry(f fault) {
-	i := f.which % entries
+func (s *Soak) injectEntryFault(f fault) {
+	i := f.index % entries
 	name := fmt.Sprintf("e%d", i)
-	if !s.take(name) {
+	if !s.reserve(name) {
 		return
 	}
-	defer s.give(name)
+	defer s.release(name)
 	p := s.system.Entries[i]
 	switch f.kind {
 	case entryKill:
 		p.Kill()
-		time.Sleep(restartPause)
-		s.restart(name, s.system.StartRouter(i))
+		time.Sleep(restartDelay)
+		s.checkStarted(name, s.system.StartPlatformEntry(i))
 	case entryStop:
-		if err := p.Stop(stopTime); err != nil {
-			s.witness.fail("%s did not stop as planned: %v", name, err)
+		if err := p.Stop(stopTimeout); err != nil {
+			s.checker.fail("%s did not stop as planned: %v", name, err)
 		}
-		s.restart(name, s.system.StartRouter(i))
+		s.checkStarted(name, s.system.StartPlatformEntry(i))
 	case entryFreeze:
-		s.freeze(p, f.span)
+		s.freeze(p, f.duration)
 	default:
 		if err := syscall.Kill(p.PID(), syscall.SIGHUP); err != nil {
-			s.witness.fail("%s ended by itself: %v", name, err)
+			s.checker.fail("%s ended by itself: %v", name, err)
 		}
 	}
 }
 
 // freeze lets an entry instance stand still. What it had in hand reaches targets late.
-func (s *Soak) freeze(p *starter.Process, span time.Duration) {
-	s.witness.froze()
+func (s *Soak) freeze(p *starter.Process, duration time.Duration) {
+	s.checker.recordFreeze()
 	p.Freeze()
-	time.Sleep(span)
+	time.Sleep(duration)
 	p.Thaw()
 }
 
-func (s *Soak) restart(name string, err error) {
+func (s *Soak) checkStarted(name string, err error) {
 	if err != nil {
-		s.witness.fail("%s does not start: %v", name, err)
+		s.checker.fail("%s does not start: %v", name, err)
 	}
 }
 
-func (s *Soak) strikeController(f fault) {
-	i := f.which % controllers
+func (s *Soak) injectControllerFault(f fault) {
+	i := f.index % controllers
 	name := fmt.Sprintf("c%d", i)
-	if !s.take(name) {
+	if !s.reserve(name) {
 		return
 	}
-	defer s.give(name)
+	defer s.release(name)
 	p := s.system.Controllers[i]
 	if f.kind == controllerFreeze {
 		p.Freeze()
-		time.Sleep(f.span)
+		time.Sleep(f.duration)
 		p.Thaw()
 		return
 	}
 	p.Kill()
 	if f.kind == controllerWipe {
-		s.restart(name, os.RemoveAll(s.system.DataFolder(i)))
+		s.checkStarted(name, os.RemoveAll(s.system.DataFolder(i)))
 	}
-	time.Sleep(f.span)
-	s.restart(name, s.system.StartSeeded(i, false))
+	time.Sleep(f.duration)
+	s.checkStarted(name, s.system.StartPlatformController(i, false))
 }
 
 func (s *Soak) killControllers() {
 	for i := range controllers {
-		if name := fmt.Sprintf("c%d", i); s.take(name) {
-			defer s.give(name)
+		if name := fmt.Sprintf("c%d", i); s.reserve(name) {
+			defer s.release(name)
 			s.system.Controllers[i].Kill()
-			defer func() { s.restart(name, s.system.StartSeeded(i, false)) }()
+			defer func() { s.checkStarted(name, s.system.StartPlatformController(i, false)) }()
 		}
 	}
-	time.Sleep(restartPause)
+	time.Sleep(restartDelay)
 }
 
-// strikeTarget ends a target; another one takes its place.
-func (s *Soak) strikeTarget(ctx context.Context, f fault) {
-	t := s.standingTarget(f.which, true)
-	s.restart("target", s.startTarget())
+// injectTargetFault ends a target; another one takes its place.
+func (s *Soak) injectTargetFault(ctx context.Context, f fault) {
+	t := s.pickTarget(f.index, true)
+	s.checkStarted("target", s.startTarget())
 	if f.kind == targetKill {
 		t.Kill()
 		t.relay.Close()
 		return
 	}
-	leave, cancel := context.WithTimeout(ctx, settleTime)
+	leaveCtx, cancel := context.WithTimeout(ctx, recoveryTimeout)
 	defer cancel()
-	if at, err := t.Leave(leave); err == nil {
-		s.witness.departed(t.Target, at)
+	if ackedAt, err := t.Leave(leaveCtx); err == nil {
+		s.checker.recordDeparture(t.Target, ackedAt)
 	}
 }
 
-func (s *Soak) strikeLink(f fault) {
-	t := s.standingTarget(f.which, false)
+func (s *Soak) injectLinkFault(f fault) {
+	t := s.pickTarget(f.index, false)
 	switch f.kind {
 	case linkReset:
 		t.relay.Reset()
 	case linkSilence:
-		t.relay.Silence()
+		t.relay.DropAll()
 	case linkMute:
-		t.relay.Mute()
+		t.relay.DropAnswers()
 	default:
 		t.relay.Delay(linkDelayTime)
-		time.Sleep(f.span)
+		time.Sleep(f.duration)
 		t.relay.Delay(0)
 	}
 }
 
 func (s *Soak) evacuate(ctx context.Context, f fault) {
-	zone := s.system.Places[f.which%len(s.system.Places)].Zone
-	if !s.take(zone) {
+	zone := s.system.Places[f.index%len(s.system.Places)].Zone
+	if !s.reserve(zone) {
 		return
 	}
-	defer s.give(zone)
+	defer s.release(zone)
 	operator := s.operator()
 	operator.Evacuate(ctx, zone, true)
-	time.Sleep(f.span)
+	time.Sleep(f.duration)
 	for operator.Evacuate(ctx, zone, false) == 0 && ctx.Err() == nil {
 		time.Sleep(callerPause)
 	}
--- a/standin/internal/soaker/schedule.go
+++ b/standin/internal/soaker/schedule.go
@@ -33,45 +33,45 @@
 	targetKill, targetLeave, linkReset, linkSilence, linkMute, linkDelay, evacuation,
 }
 
-// losses are the faults that take a controller's vote or disk.
-var losses = []kind{controllerKill, controllerFreeze, controllerWipe, controllerKillAll}
+// controllerLosses are the faults that take a controller's vote or disk.
+var controllerLosses = []kind{controllerKill, controllerFreeze, controllerWipe, controllerKillAll}
 
 const (
 	// minGap and gapSpread space the faults; many last longer, so they overlap.
 	minGap    = 100 * time.Millisecond
 	gapSpread = 900 * time.Millisecond
-	// minSpan and spanSpread are how long a fault lasts that has an end.
-	minSpan    = 300 * time.Millisecond
-	spanSpread = 2500 * time.Millisecond
-	// lossPause is the least time between two losses: as long as a replacement
+	// minDuration and spanSpread are how long a fault lasts that has an end.
+	minDuration    = 300 * time.Millisecond
+	durationSpread = 2500 * time.Millisecond
+	// minLossInterval is the least time between two losses: as long as a replacement
 	// takes to hold everything and get its seat.
-	lossPause = 8 * time.Second
+	minLossInterval = 8 * time.Second
 )
 
 // fault is one entry of a schedule.
 type fault struct {
 	at   time.Duration
 	kind kind
-	// which picks the victim among those of its kind.
-	which int
-	span  time.Duration
+	// index picks the victim among those of its kind.
+	index    int
+	duration time.Duration
 }
 
 // schedule draws the faults of a run from its seed.
 func schedule(seed uint64, length time.Duration) []fault {
 	random := rand.New(rand.NewPCG(seed, 1))
 	var out []fault
-	loss := -lossPause
+	lastLoss := -minLossInterval
 	for at := minGap; at < length; at += minGap + time.Duration(random.Int64N(int64(gapSpread))) {
 		f := fault{
-			at: at, kind: kinds[random.IntN(len(kinds))], which: random.IntN(1 << 16),
-			span: minSpan + time.Duration(random.Int64N(int64(spanSpread))),
+			at: at, kind: kinds[random.IntN(len(kinds))], index: random.IntN(1 << 16),
+			duration: minDuration + time.Duration(random.Int64N(int64(durationSpread))),
 		}
-		if slices.Contains(losses, f.kind) {
-			if at-loss < lossPause {
+		if slices.Contains(controllerLosses, f.kind) {
+			if at-lastLoss < minLossInterval {
 				continue
 			}
-			loss = at
+			lastLoss = at
 		}
 		out = append(out, f)
 	}
--- a/standin/internal/soaker/soaker.go
+++ b/standin/internal/soaker/soaker.go
@@ -23,10 +23,10 @@
 	targetWork  = 15 * time.Millisecond
 	// callerPause is the time between two requests of a caller.
 	callerPause = 10 * time.Millisecond
-	// settleTime is how long after the last fault everything has to work again.
-	settleTime = 15 * time.Second
-	startTime  = 20 * time.Second
-	folderMode = 0o750
+	// recoveryTimeout is how long after the last fault everything has to work again.
+	recoveryTimeout = 15 * time.Second
+	startTimeout    = 20 * time.Second
+	folderMode      = 0o750
 )
 
 // Soak is one run. Set the exported fields, then Run it.
@@ -40,21 +40,21 @@
 	// Print takes a line for each fault.
 	Print func(line string)
 
-	system  *starter.Routed
-	witness witness
-	mu      sync.Mutex
-	targets []*standing
-	started int
-	group   sync.WaitGroup
-	// busy holds the processes that a fault has not yet given back.
-	busy map[string]bool
+	system         *starter.PlatformSystem
+	checker        checker
+	mu             sync.Mutex
+	targets        []*relayedTarget
+	startedTargets int
+	group          sync.WaitGroup
+	// reserved holds the processes that a fault has not yet given back.
+	reserved map[string]bool
 }
 
 // Counts returns how many requests were sent and how many got a target's whole answer.
 func (s *Soak) Counts() (sent, whole int) {
-	s.witness.mu.Lock()
-	defer s.witness.mu.Unlock()
-	return s.witness.asked, s.witness.whole
+	s.checker.mu.Lock()
+	defer s.checker.mu.Unlock()
+	return s.checker.sent, s.checker.whole
 }
 
 // Run plays the schedule and returns the promises that were broken.
@@ -62,32 +62,32 @@
 	if err := os.MkdirAll(s.Folder, folderMode); err != nil {
 		return nil, err
 	}
-	s.busy = map[string]bool{}
-	s.system = &starter.Routed{System: &starter.System{
+	s.reserved = map[string]bool{}
+	s.system = &starter.PlatformSystem{System: &starter.System{
 		Programs: s.Programs, Folder: s.Folder, Net: s.Net, Places: []starter.Place{
 			{Region: "almaty", Zone: "almaty-a"}, {Region: "astana", Zone: "astana-a"}, {Region: "almaty", Zone: "almaty-b"},
 		},
 	}}
 	defer s.system.Close()
-	if err := s.begin(ctx); err != nil {
+	if err := s.startSystem(ctx); err != nil {
 		return nil, err
 	}
 	load, stop := context.WithCancel(ctx)
-	s.group.Go(func() { s.operate(load) })
+	s.group.Go(func() { s.changePlans(load) })
 	for i := range callers {
-		s.group.Go(func() { s.call(load, i) })
+		s.group.Go(func() { s.sendRequests(load, i) })
 	}
-	s.play(ctx)
-	s.settle(ctx)
+	s.runSchedule(ctx)
+	s.awaitRecovery(ctx)
 	stop()
 	s.group.Wait()
-	s.judge(ctx)
-	return s.witness.broken, nil
+	s.checkEnd(ctx)
+	return s.checker.violations, nil
 }
 
-// begin starts everything and waits until it serves.
-func (s *Soak) begin(ctx context.Context) error {
-	if err := s.system.StartRouted(controllers, entries); err != nil {
+// startSystem starts everything and waits until it serves.
+func (s *Soak) startSystem(ctx context.Context) error {
+	if err := s.system.StartPlatformSystem(controllers, entries); err != nil {
 		return err
 	}
 	for range targets {
@@ -97,9 +97,9 @@
 	}
 	operator := s.operator()
 	c := s.client(0)
-	for deadline := time.Now().Add(startTime); time.Now().Before(deadline); time.Sleep(callerPause) {
+	for deadline := time.Now().Add(startTimeout); time.Now().Before(deadline); time.Sleep(callerPause) {
 		if operator.Put(ctx, speaker.Plan(1, 0, service)) == http.StatusOK && c.Send(ctx, http.MethodGet, "/safe/0", "k", "").Whole {
-			s.witness.acked = 1
+			s.checker.ackedVersion = 1
 			return nil
 		}
 	}
@@ -117,8 +117,8 @@
 	}
 }
 
-// call sends requests, every other one of a kind that must not repeat.
-func (s *Soak) call(ctx context.Context, i int) {
+// sendRequests sends requests, every other one of a kind that must not repeat.
+func (s *Soak) sendRequests(ctx context.Context, i int) {
 	c := s.client(i + 1)
 	for n := 0; ctx.Err() == nil; n++ {
 		method, path := http.MethodGet, fmt.Sprintf("/safe/%d?n=%%2F", n%11)
@@ -126,45 +126,45 @@
 			method, path = http.MethodPost, fmt.Sprintf("/once/%d?n=%%2F", n%11)
 		}
 		a := c.Send(context.WithoutCancel(ctx), method, path, fmt.Sprint(n%11), "body")
-		s.witness.answered(a, method, path)
+		s.checker.checkAnswer(a, method, path)
 		time.Sleep(max(callerPause, min(a.Retry, time.Second)))
 	}
 }
 
-// operate changes the plan again and again, sends what got no clear answer once more, and reads back.
-func (s *Soak) operate(ctx context.Context) {
+// changePlans changes the plan again and again, sends what got no clear answer once more, and reads back.
+func (s *Soak) changePlans(ctx context.Context) {
 	operator := s.operator()
 	for version := 2; ctx.Err() == nil; version++ {
 		plan := speaker.Plan(version, version-1, service)
 		for {
 			status := operator.Put(ctx, plan)
 			if status == http.StatusOK {
-				s.witness.accepted(version)
+				s.checker.recordAccepted(version)
 				break
 			}
 			if ctx.Err() != nil {
 				return
 			}
 			if status >= http.StatusBadRequest && status < http.StatusInternalServerError {
-				s.witness.refused(version, status)
+				s.checker.failRefused(version, status)
 				return
 			}
 			time.Sleep(callerPause)
 		}
-		floor := s.witness.newest()
-		s.witness.read(floor, operator.Version(ctx))
+		minVersion := s.checker.newestAccepted()
+		s.checker.checkRead(minVersion, operator.Version(ctx))
 		time.Sleep(10 * callerPause)
 	}
 }
 
-// settle waits until every caller is served again.
-func (s *Soak) settle(ctx context.Context) {
-	deadline := time.Now().Add(settleTime)
+// awaitRecovery waits until every caller is served again.
+func (s *Soak) awaitRecovery(ctx context.Context) {
+	deadline := time.Now().Add(recoveryTimeout)
 	for i := range callers {
 		c := s.client(callers + 1 + i)
 		for !c.Send(ctx, http.MethodGet, "/safe/1", "k", "").Whole {
 			if time.Now().After(deadline) {
-				s.witness.fail("not served %s after the last fault: caller %d", settleTime, i)
+				s.checker.fail("not served %s after the last fault: caller %d", recoveryTimeout, i)
 				return
 			}
 			time.Sleep(10 * callerPause)
--- a/standin/internal/starter/routed.go
+++ b/standin/internal/starter/routed.go
@@ -14,38 +14,38 @@
 	seedCount    = 3
 )
 
-// Routed is a system whose controllers are founded by seeds and whose entry instances route by a plan.
-type Routed struct {
+// PlatformSystem is a system whose controllers are founded by seeds and whose entry instances route by a plan.
+type PlatformSystem struct {
 	*System
-	// Founders are the seeds' addresses; set by StartRouted.
-	Founders []string
+	// Seeds are the seeds' addresses; set by StartRouted.
+	Seeds []string
 }
 
-// StartRouted starts controllers and entry instances; the first controllers are the seeds.
-func (s *Routed) StartRouted(controllers, entries int) error {
+// StartPlatformSystem starts controllers and entry instances; the first controllers are the seeds.
+func (s *PlatformSystem) StartPlatformSystem(controllers, entries int) error {
 	for i := range min(controllers, seedCount) {
-		s.Founders = append(s.Founders, fmt.Sprintf("%s:%d", s.address(controllerNet, i), PlatformPort))
+		s.Seeds = append(s.Seeds, fmt.Sprintf("%s:%d", s.address(controllerNet, i), PlatformPort))
 	}
 	for i := range controllers {
-		if err := s.StartSeeded(i, true); err != nil {
+		if err := s.StartPlatformController(i, true); err != nil {
 			return err
 		}
 	}
 	for i := range entries {
-		if err := s.StartRouter(i); err != nil {
+		if err := s.StartPlatformEntry(i); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// StartSeeded starts or restarts controller i; first says that the whole system starts for the first time.
-func (s *Routed) StartSeeded(i int, first bool) error {
+// StartPlatformController starts or restarts controller i; first says that the whole system starts for the first time.
+func (s *PlatformSystem) StartPlatformController(i int, initial bool) error {
 	name := fmt.Sprintf("c%d", i+1)
 	address := s.address(controllerNet, i)
 	place := s.place(i)
 	found := "no"
-	if first {
+	if initial {
 		found = "yes"
 	}
 	path, err := s.write(name+".ini", fmt.Sprintf(`[controller]
@@ -71,7 +71,7 @@
 lease = 4s
 patience = 4s
 `, place.Region, place.Zone, s.DataFolder(i), address, ControlPort, address, OperatorPort, address, PlatformPort,
-		strings.Join(s.Founders, ", "), found, s.zones()))
+		strings.Join(s.Seeds, ", "), found, s.zones()))
 	if err != nil {
 		return err
 	}
@@ -79,11 +79,11 @@
 	if err != nil {
 		return err
 	}
-	s.Controllers = put(s.Controllers, i, p)
+	s.Controllers = setOrAppend(s.Controllers, i, p)
 	return nil
 }
 
-func (s *Routed) zones() string {
+func (s *PlatformSystem) zones() string {
 	out := ""
 	for _, p := range s.Places {
 		out += p.Zone + " = " + p.Region + "\n"
@@ -91,8 +91,8 @@
 	return out
 }
 
-// StartRouter starts or restarts entry instance i.
-func (s *Routed) StartRouter(i int) error {
+// StartPlatformEntry starts or restarts entry instance i.
+func (s *PlatformSystem) StartPlatformEntry(i int) error {
 	name := fmt.Sprintf("e%d", i+1)
 	address := s.address(entryNet, i)
 	place := s.place(i)
@@ -116,7 +116,7 @@
 patience = 6s
 `, name, place.Region, place.Zone, address, CallerPort, address, readyPort, address, PeerPort, address,
 		MetricsPort,
-		strings.Join(s.Founders, ", "), ControlPort))
+		strings.Join(s.Seeds, ", "), ControlPort))
 	if err != nil {
 		return err
 	}
@@ -124,11 +124,11 @@
 	if err != nil {
 		return err
 	}
-	s.Entries = put(s.Entries, i, p)
+	s.Entries = setOrAppend(s.Entries, i, p)
 	return nil
 }
 
-func put(list []*Process, i int, p *Process) []*Process {
+func setOrAppend(list []*Process, i int, p *Process) []*Process {
 	if i < len(list) {
 		list[i] = p
 		return list
@@ -137,7 +137,7 @@
 }
 
 // PlatformURLs are the base URLs of all controllers for the platform's calls.
-func (s *Routed) PlatformURLs() []string {
+func (s *PlatformSystem) PlatformURLs() []string {
 	var out []string
 	for i := range s.Controllers {
 		out = append(out, fmt.Sprintf("http://%s:%d", s.address(controllerNet, i), PlatformPort))
@@ -146,9 +146,9 @@
 }
 
 // LogFile is where a process's lines go.
-func (s *Routed) LogFile(name string) string { return filepath.Join(s.Folder, name+".log") }
+func (s *PlatformSystem) LogFile(name string) string { return filepath.Join(s.Folder, name+".log") }
 
 // ReadyAddress answers whether entry instance i is ready.
-func (s *Routed) ReadyAddress(i int) string {
+func (s *PlatformSystem) ReadyAddress(i int) string {
 	return fmt.Sprintf("%s:%d", s.address(entryNet, i), readyPort)
 }
--- a/standin/internal/starter/starter.go
+++ b/standin/internal/starter/starter.go
@@ -19,13 +19,13 @@
 
 // Ports of every process; each process has an address of its own.
 const (
-	ControlPort  = 7000
-	OperatorPort = 7001
-	CallerPort   = 8000
-	TargetPort   = 8001
-	PeerPort     = 8002
-	MetricsPort  = 8003
-	BackendPort  = 9000
+	ControlPort      = 7000
+	OperatorPort     = 7001
+	CallerPort       = 8000
+	AnnouncementPort = 8001
+	PeerPort         = 8002
+	MetricsPort      = 8003
+	ServicePort      = 9000
 
 	folderMode = 0o750
 	fileMode   = 0o640
@@ -57,22 +57,22 @@
 // Thaw lets a frozen process go on.
 func (p *Process) Thaw() { _ = p.command.Process.Signal(syscall.SIGCONT) }
 
-// Ask asks the process to stop and returns at once.
-func (p *Process) Ask() { _ = p.command.Process.Signal(syscall.SIGTERM) }
+// Terminate asks the process to stop and returns at once.
+func (p *Process) Terminate() { _ = p.command.Process.Signal(syscall.SIGTERM) }
 
 // Stop asks the process to stop, waits, and returns how it ended.
-func (p *Process) Stop(patience time.Duration) error {
-	p.Ask()
-	return p.Wait(patience)
+func (p *Process) Stop(timeout time.Duration) error {
+	p.Terminate()
+	return p.Wait(timeout)
 }
 
 // Wait waits until the process ended.
-func (p *Process) Wait(patience time.Duration) error {
+func (p *Process) Wait(timeout time.Duration) error {
 	select {
 	case <-p.done:
 		return p.err
-	case <-time.After(patience):
-		return &StuckError{Process: p.Name}
+	case <-time.After(timeout):
+		return &TimeoutError{Awaited: p.Name}
 	}
 }
 
@@ -96,17 +96,17 @@
 	Net byte
 	// Region and Zone of process i of each kind.
 	Places []Place
-	// Answer is how long callers may keep look-up answers.
-	Answer time.Duration
-	// Sample is passed on to the entry instances' log settings.
-	Sample int
+	// AnswerLifetime is how long callers may keep look-up answers.
+	AnswerLifetime time.Duration
+	// LogSample is passed on to the entry instances' log settings.
+	LogSample int
 
 	Controllers []*Process
 	Entries     []*Process
-	Backends    []*Process
+	Targets     []*Process
 
-	mu  sync.Mutex
-	all []*Process
+	mu        sync.Mutex
+	processes []*Process
 }
 
 // Place is a region and an availability zone.
@@ -120,7 +120,7 @@
 const (
 	controllerNet = 1
 	entryNet      = 2
-	backendNet    = 3
+	targetNet     = 3
 )
 
 func (s *System) address(kind byte, i int) netip.Addr {
@@ -147,7 +147,7 @@
 		close(p.done)
 	}()
 	s.mu.Lock()
-	s.all = append(s.all, p)
+	s.processes = append(s.processes, p)
 	s.mu.Unlock()
 	return p, nil
 }
@@ -156,7 +156,7 @@
 func (s *System) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, p := range s.all {
+	for _, p := range s.processes {
 		if !p.Ended() {
 			p.Thaw()
 			p.Kill()
@@ -283,8 +283,8 @@
 
 [log]
 sample = %d
-`, name, place.Region, place.Zone, address, CallerPort, address, TargetPort, address, PeerPort, address,
-		MetricsPort, strings.Join(controllers, ", "), max(s.Answer, time.Second), max(s.Sample, 1)))
+`, name, place.Region, place.Zone, address, CallerPort, address, AnnouncementPort, address, PeerPort, address,
+		MetricsPort, strings.Join(controllers, ", "), max(s.AnswerLifetime, time.Second), max(s.LogSample, 1)))
 	if err != nil {
 		return nil, err
 	}
@@ -295,48 +295,48 @@
 	return p, err
 }
 
-// BackendSettings describe one target to start.
-type BackendSettings struct {
+// TargetSettings describe one target to start.
+type TargetSettings struct {
 	Service string
 	Slots   int
 	Work    time.Duration
 }
 
-// StartBackend starts a target that announces itself to every entry instance.
-func (s *System) StartBackend(b BackendSettings) (*Process, error) {
-	i := len(s.Backends)
-	p, err := s.startBackend(i, b)
+// StartTarget starts a target that announces itself to every entry instance.
+func (s *System) StartTarget(b TargetSettings) (*Process, error) {
+	i := len(s.Targets)
+	p, err := s.startTarget(i, b)
 	if err == nil {
-		s.Backends = append(s.Backends, p)
+		s.Targets = append(s.Targets, p)
 	}
 	return p, err
 }
 
-// RestartBackend starts target i again, as a new run of the same name.
-func (s *System) RestartBackend(i int, b BackendSettings) error {
-	p, err := s.startBackend(i, b)
+// RestartTarget starts target i again, as a new run of the same name.
+func (s *System) RestartTarget(i int, b TargetSettings) error {
+	p, err := s.startTarget(i, b)
 	if err == nil {
-		s.Backends[i] = p
+		s.Targets[i] = p
 	}
 	return err
 }
 
-func (s *System) startBackend(i int, b BackendSettings) (*Process, error) {
+func (s *System) startTarget(i int, b TargetSettings) (*Process, error) {
 	name := fmt.Sprintf("u%d", i+1)
-	address := s.address(backendNet, i)
+	address := s.address(targetNet, i)
 	place := s.place(i)
 	var entries []string
 	for _, e := range s.Entries {
-		entries = append(entries, fmt.Sprintf("%s:%d", e.Address, TargetPort))
+		entries = append(entries, fmt.Sprintf("%s:%d", e.Address, AnnouncementPort))
 	}
 	return s.Start(name, "standin", address, "target",
-		"--name", name, "--service", b.Service, "--address", fmt.Sprintf("%s:%d", address, BackendPort),
+		"--name", name, "--service", b.Service, "--address", fmt.Sprintf("%s:%d", address, ServicePort),
 		"--region", place.Region, "--zone", place.Zone, "--slots", fmt.Sprint(b.Slots),
 		"--work", b.Work.String(), "--entries", strings.Join(entries, ","))
 }
 
-// Operators returns the operator addresses of all controllers.
-func (s *System) Operators() string {
+// OperatorAddresses returns the operator addresses of all controllers.
+func (s *System) OperatorAddresses() string {
 	var out []string
 	for _, c := range s.Controllers {
 		out = append(out, fmt.Sprintf("%s:%d", c.Address, OperatorPort))
@@ -346,7 +346,7 @@
 
 // Railctl runs the operators' tool and returns its output and exit code.
 func (s *System) Railctl(arguments ...string) (string, int) {
-	arguments = append([]string{"--controllers", s.Operators()}, arguments...)
+	arguments = append([]string{"--controllers", s.OperatorAddresses()}, arguments...)
 	command := exec.Command(filepath.Join(s.Programs, "railctl"), arguments...)
 	out, err := command.CombinedOutput()
 	var exit *exec.ExitError
@@ -372,9 +372,9 @@
 	return nil
 }
 
-// Ready waits until a URL answers 200.
-func Ready(url string, patience time.Duration) error {
-	deadline := time.Now().Add(patience)
+// AwaitReady waits until a URL answers 200.
+func AwaitReady(url string, timeout time.Duration) error {
+	deadline := time.Now().Add(timeout)
 	for time.Now().Before(deadline) {
 		response, err := http.Get(url)
 		if err == nil {
@@ -386,7 +386,7 @@
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	return &StuckError{Process: url}
+	return &TimeoutError{Awaited: url}
 }
 
 // CallerURL is the base address of entry instance i for callers.
@@ -394,18 +394,18 @@
 	return fmt.Sprintf("http://%s:%d", s.address(entryNet, i), CallerPort)
 }
 
-// BackendURL is the address of target i.
-func (s *System) BackendURL(i int) string {
-	return fmt.Sprintf("http://%s:%d", s.address(backendNet, i), BackendPort)
+// TargetURL is the address of target i.
+func (s *System) TargetURL(i int) string {
+	return fmt.Sprintf("http://%s:%d", s.address(targetNet, i), ServicePort)
 }
 
-// StuckError says that something did not happen in time.
-type StuckError struct {
-	Process string
+// TimeoutError says that something did not happen in time.
+type TimeoutError struct {
+	Awaited string
 }
 
 // Error implements error.
-func (e *StuckError) Error() string { return e.Process + " took too long" }
+func (e *TimeoutError) Error() string { return e.Awaited + " took too long" }
 
 // ToolError is a failed call of the operators' tool.
 type ToolError struct {
--- a/standin/internal/trials/limits_test.go
+++ b/standin/internal/trials/limits_test.go
@@ -36,7 +36,7 @@
 func served(s *starter.System, of func(i int) bool) int64 {
 	var sum int64
 	for _, r := range stats(s) {
-		for i, b := range s.Backends {
+		for i, b := range s.Targets {
 			if b.Name == r.Name && of(i) {
 				sum += r.Served
 			}
--- a/standin/internal/trials/organisations_test.go
+++ b/standin/internal/trials/organisations_test.go
@@ -81,11 +81,11 @@
 	for i := range 2 {
 		f.Controllers[i].Kill()
 		time.Sleep(2 * time.Second)
-		is.NoErr(f.StartSeeded(i, false))
+		is.NoErr(f.StartPlatformController(i, false))
 		time.Sleep(time.Second)
 	}
 	f.Entries[1].Kill()
-	is.NoErr(f.StartRouter(1))
+	is.NoErr(f.StartPlatformEntry(1))
 	time.Sleep(6 * time.Second)
 	stop()
 	stopOther()
--- a/standin/internal/trials/platform_test.go
+++ b/standin/internal/trials/platform_test.go
@@ -23,7 +23,7 @@
 
 // fleet is a running system that speaks the users' platform's language, with targets and callers around it.
 type fleet struct {
-	*starter.Routed
+	*starter.PlatformSystem
 	operator *speaker.Operator
 	targets  []*speaker.Target
 }
@@ -31,8 +31,8 @@
 func startFleet(t *testing.T, controllers, entries, targets int) *fleet {
 	t.Helper()
 	is := is.New(t)
-	f := &fleet{Routed: &starter.Routed{System: prepare(t)}}
-	is.NoErr(f.StartRouted(controllers, entries))
+	f := &fleet{PlatformSystem: &starter.PlatformSystem{System: prepare(t)}}
+	is.NoErr(f.StartPlatformSystem(controllers, entries))
 	f.operator = &speaker.Operator{Controllers: f.PlatformURLs()}
 	for i := range targets {
 		target := &speaker.Target{
@@ -169,7 +169,7 @@
 			is.NoErr(syscall.Kill(e.PID(), syscall.SIGHUP))
 			time.Sleep(200 * time.Millisecond)
 			is.NoErr(e.Stop(patience))
-			is.NoErr(f.StartRouter(i))
+			is.NoErr(f.StartPlatformEntry(i))
 			until(t, "the entry instance is ready", func() bool { return speaker.Ready(context.Background(), f.ReadyAddress(i)) })
 		}
 		f.check(t, stop())
@@ -191,7 +191,7 @@
 	is.NoErr(os.RemoveAll(f.DataFolder(0)))
 	time.Sleep(time.Second)
 	for i := range f.Controllers {
-		is.NoErr(f.StartSeeded(i, false))
+		is.NoErr(f.StartPlatformController(i, false))
 	}
 	until(t, "the plan is read back", func() bool { return f.operator.Version(ctx) == "r7" })
 	f.check(t, stop())
@@ -212,7 +212,7 @@
 	for i := range f.Entries {
 		time.Sleep(300 * time.Millisecond)
 		f.Entries[i].Kill()
-		is.NoErr(f.StartRouter(i))
+		is.NoErr(f.StartPlatformEntry(i))
 		f.targets[i].Kill()
 		until(t, "the entry instance is ready", func() bool { return speaker.Ready(context.Background(), f.ReadyAddress(i)) })
 	}
--- a/standin/internal/trials/relay_test.go
+++ b/standin/internal/trials/relay_test.go
@@ -19,7 +19,7 @@
 func newRelay(t *testing.T, s *starter.System) *relayer.Relay {
 	t.Helper()
 	is := is.New(t)
-	b := &backend.Backend{Name: "relayed", Slots: 3, Work: time.Millisecond}
+	b := &backend.Target{Name: "relayed", Slots: 3, Work: time.Millisecond}
 	target, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
 	server := &http.Server{Handler: b, ReadHeaderTimeout: time.Second}
@@ -29,9 +29,9 @@
 	is.NoErr(err)
 	ctx, cancel := context.WithCancel(context.Background())
 	a := &backend.Announcer{
-		Backend: b, Service: "listings", Region: "almaty", Zone: "almaty-a",
+		Target: b, Service: "listings", Region: "almaty", Zone: "almaty-a",
 		Address: netip.MustParseAddrPort(front),
-		Entries: []netip.AddrPort{netip.AddrPortFrom(s.Entries[0].Address, starter.TargetPort)},
+		Entries: []netip.AddrPort{netip.AddrPortFrom(s.Entries[0].Address, starter.AnnouncementPort)},
 	}
 	go a.Run(ctx)
 	t.Cleanup(func() {
--- a/standin/internal/trials/system_test.go
+++ b/standin/internal/trials/system_test.go
@@ -46,10 +46,10 @@
 	absolute, err := filepath.Abs(programs)
 	is.NoErr(err)
 	s := &starter.System{
-		Programs: absolute,
-		Folder:   t.TempDir(),
-		Net:      byte(firstNet + nets.Add(1)),
-		Answer:   time.Second,
+		Programs:       absolute,
+		Folder:         t.TempDir(),
+		Net:            byte(firstNet + nets.Add(1)),
+		AnswerLifetime: time.Second,
 		Places: []starter.Place{
 			{Region: "almaty", Zone: "almaty-a"},
 			{Region: "astana", Zone: "astana-a"},
@@ -185,7 +185,7 @@
 	t.Helper()
 	is := is.New(t)
 	for range count {
-		_, err := s.StartBackend(starter.BackendSettings{Service: service, Slots: 3, Work: work})
+		_, err := s.StartTarget(starter.TargetSettings{Service: service, Slots: 3, Work: work})
 		is.NoErr(err)
 	}
 	for i := range s.Entries {
@@ -219,11 +219,11 @@
 // stats asks the targets that still run.
 func stats(s *starter.System) []backend.Report {
 	var out []backend.Report
-	for i := range s.Backends {
-		if s.Backends[i].Ended() {
+	for i := range s.Targets {
+		if s.Targets[i].Ended() {
 			continue
 		}
-		response, err := http.Get(s.BackendURL(i) + "/stats")
+		response, err := http.Get(s.TargetURL(i) + "/stats")
 		if err != nil {
 			continue
 		}
--- a/standin/internal/trials/traffic_test.go
+++ b/standin/internal/trials/traffic_test.go
@@ -93,7 +93,7 @@
 		time.Sleep(50 * time.Millisecond)
 	}
 	dead := 0
-	for _, b := range s.Backends {
+	for _, b := range s.Targets {
 		if b.Ended() {
 			dead++
 		}
@@ -144,9 +144,9 @@
 		})
 	})
 	time.Sleep(500 * time.Millisecond)
-	s.Entries[0].Ask()
+	s.Entries[0].Terminate()
 	until(t, "look-ups name only the other", func() bool {
-		c := &loader.Caller{Service: "listings", Lookups: []string{s.CallerURL(1)}}
+		c := &loader.Caller{Service: "listings", LookupURLs: []string{s.CallerURL(1)}}
 		entries, err := c.Entries(context.Background())
 		return err == nil && len(entries) == 1 && entries[0] == s.CallerURL(1)
 	})
@@ -181,7 +181,7 @@
 			}
 		})
 	}
-	is.NoErr(s.Backends[0].Stop(patience))
+	is.NoErr(s.Targets[0].Stop(patience))
 	time.Sleep(200 * time.Millisecond)
 	close(stop)
 	group.Wait()
@@ -201,7 +201,7 @@
 	}
 	until(t, "the entry instance refuses", func() bool {
 		a := get(s, "listings", 0, "/events")
-		return a.Status == http.StatusServiceUnavailable && a.Outcome == "not-run" && a.Retry != ""
+		return a.Status == http.StatusServiceUnavailable && a.Outcome == "not-run" && a.RetryAfter != ""
 	})
 	for _, c := range s.Controllers {
 		c.Thaw()
@@ -217,9 +217,9 @@
 	backends(t, s, "listings", 6, time.Millisecond)
 	s.Controllers[0].Kill()
 	s.Entries[0].Kill()
-	s.Backends[0].Kill()
-	s.Backends[3].Kill()
-	c := &loader.Caller{Service: "listings", Lookups: []string{s.CallerURL(0), s.CallerURL(1), s.CallerURL(2)}}
+	s.Targets[0].Kill()
+	s.Targets[3].Kill()
+	c := &loader.Caller{Service: "listings", LookupURLs: []string{s.CallerURL(0), s.CallerURL(1), s.CallerURL(2)}}
 	until(t, "callers are answered", func() bool {
 		return c.Send(context.Background(), loader.Request{Method: http.MethodGet, Path: "/events"}).Status == http.StatusOK
 	})
@@ -240,11 +240,11 @@
 	s := start(t, 1, 1)
 	backends(t, s, "listings", 1, time.Millisecond)
 	r := newRelay(t, s)
-	is.NoErr(s.Backends[0].Stop(patience))
+	is.NoErr(s.Targets[0].Stop(patience))
 	until(t, "the entry instance uses the relay", func() bool {
 		return get(s, "listings", 0, "/events").Status == http.StatusOK && r.Count() > 0
 	})
-	r.Silence()
+	r.DropAll()
 	began := time.Now()
 	a := get(s, "listings", 0, "/events")
 	is.Equal(a.Status, http.StatusOK)
