--- a/railctl/internal/cli/cli.go
+++ b/railctl/internal/cli/cli.go
@@ -29,7 +29,7 @@
 	exitNotInForce  = 5
 )
 
-const defaultPatience = 10 * time.Second
+const defaultTimeout = 10 * time.Second
 
 // Run runs the program and returns its exit code.
 func Run(args []string) int {
@@ -48,7 +48,7 @@
 			&cli.StringFlag{Name: "key", Usage: "client key `FILE`"},
 			&cli.StringFlag{Name: "authority", Usage: "`FILE` with the authority of the controllers"},
 			&cli.StringFlag{Name: "output", Usage: "text or json", Value: "text"},
-			&cli.DurationFlag{Name: "patience", Usage: "how long to try", Value: defaultPatience},
+			&cli.DurationFlag{Name: "patience", Usage: "how long to try", Value: defaultTimeout},
 		},
 		Commands: []*cli.Command{
 			planCommand(), applyCommand(), diffCommand(), getCommand(),
@@ -60,19 +60,19 @@
 		return 0
 	}
 	fmt.Fprintln(os.Stderr, "railctl:", err)
-	return codeOf(err)
+	return exitCode(err)
 }
 
-func codeOf(err error) int {
+func exitCode(err error) int {
 	var faults *parser.FaultsError
 	var unreachable *client.UnreachableError
 	var conflict *ConflictError
-	var late *NotInForceError
+	var notInForce *NotInForceError
 	var input *InputError
 	switch {
 	case errors.As(err, &conflict):
 		return exitConflict
-	case errors.As(err, &late):
+	case errors.As(err, &notInForce):
 		return exitNotInForce
 	case errors.As(err, &unreachable):
 		return exitUnreachable
--- a/railctl/internal/cli/status.go
+++ b/railctl/internal/cli/status.go
@@ -48,13 +48,13 @@
 		if err != nil {
 			return err
 		}
-		behind := unconfirmed(status, number)
-		if status.GetSettled() && len(behind) == 0 && status.GetNumber() >= number {
+		pending := unconfirmed(status, number)
+		if status.GetSettled() && len(pending) == 0 && status.GetNumber() >= number {
 			return s.inForce(status, number, time.Since(start))
 		}
 		select {
 		case <-s.ctx.Done():
-			return &NotInForceError{Number: number, Instances: behind}
+			return &NotInForceError{Number: number, Instances: pending}
 		case <-time.After(watchPause):
 		}
 	}
@@ -62,30 +62,30 @@
 
 func unconfirmed(status *wire.StatusResponse, number uint64) []string {
 	var out []string
-	for _, n := range status.GetNodes() {
-		if !n.GetLost() && n.GetNumber() < number {
-			out = append(out, n.GetName())
+	for _, instance := range status.GetNodes() {
+		if !instance.GetLost() && instance.GetNumber() < number {
+			out = append(out, instance.GetName())
 		}
 	}
 	return out
 }
 
-func (s *session) inForce(status *wire.StatusResponse, number uint64, took time.Duration) error {
+func (s *session) inForce(status *wire.StatusResponse, number uint64, elapsed time.Duration) error {
 	value := struct {
 		Number  uint64        `json:"number"`
 		Waited  time.Duration `json:"waited"`
 		Lost    []string      `json:"lost,omitempty"`
 		Members int           `json:"members"`
-	}{Number: number, Waited: took}
-	for _, n := range status.GetNodes() {
-		if n.GetLost() {
-			value.Lost = append(value.Lost, n.GetName())
+	}{Number: number, Waited: elapsed}
+	for _, instance := range status.GetNodes() {
+		if instance.GetLost() {
+			value.Lost = append(value.Lost, instance.GetName())
 			continue
 		}
 		value.Members++
 	}
 	text := fmt.Sprintf("number %d is in force on %d entry instances after %s\n", number, value.Members,
-		took.Round(time.Millisecond))
+		elapsed.Round(time.Millisecond))
 	if len(value.Lost) > 0 {
 		text += "no lease, refusing work: " + strings.Join(value.Lost, ", ") + "\n"
 	}
@@ -114,12 +114,12 @@
 				_, err = fmt.Fprintln(s.out, string(data))
 				return err
 			}
-			return s.table(status)
+			return s.printTable(status)
 		},
 	}
 }
 
-func (s *session) table(status *wire.StatusResponse) error {
+func (s *session) printTable(status *wire.StatusResponse) error {
 	const padding = 2
 	t := tabwriter.NewWriter(s.out, 0, 0, padding, ' ', 0)
 	fmt.Fprintf(t, "number\t%d\tleader\t%s\tcommit\t%d\tclaims\t%d\n\n",
@@ -127,12 +127,12 @@
 	fmt.Fprintln(t, "CONTROLLER\tADDRESS\tROLE\tSTORED\tSTATE")
 	for _, r := range status.GetReplicas() {
 		fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%s\n", r.GetName(), r.GetAddress(), role(r), r.GetMatch(),
-			word(r.GetSilent(), "silent", "ok"))
+			choose(r.GetSilent(), "silent", "ok"))
 	}
 	fmt.Fprintln(t, "\nENTRY\tADDRESS\tREGION\tZONE\tNUMBER\tSTATE")
-	for _, n := range status.GetNodes() {
-		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%d\t%s\n", n.GetName(), n.GetCaller(), n.GetRegion(), n.GetZone(),
-			n.GetNumber(), word(n.GetLost(), "lost", word(n.GetLeaving(), "leaving", "ok")))
+	for _, instance := range status.GetNodes() {
+		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%d\t%s\n", instance.GetName(), instance.GetCaller(), instance.GetRegion(), instance.GetZone(),
+			instance.GetNumber(), choose(instance.GetLost(), "lost", choose(instance.GetLeaving(), "leaving", "ok")))
 	}
 	fmt.Fprintln(t, "\nLIMIT\tCAP\tGRANTED")
 	for _, l := range status.GetLimits() {
@@ -142,10 +142,10 @@
 }
 
 func role(r *wire.ReplicaStatus) string {
-	return word(r.GetLeader(), "leader", word(r.GetVoter(), "voter", "learner"))
+	return choose(r.GetLeader(), "leader", choose(r.GetVoter(), "voter", "learner"))
 }
 
-func word(condition bool, yes, no string) string {
+func choose(condition bool, yes, no string) string {
 	if condition {
 		return yes
 	}
--- a/railctl/internal/client/client.go
+++ b/railctl/internal/client/client.go
@@ -19,7 +19,7 @@
 
 const (
 	callTimeout = 2 * time.Second
-	pause       = 100 * time.Millisecond
+	retryPause  = 100 * time.Millisecond
 )
 
 // Client asks the controllers in turn. Set the exported fields, then call Open.
@@ -72,7 +72,7 @@
 // its id makes every controller give the first verdict.
 func (c *Client) Apply(ctx context.Context, change *wire.Change) (*wire.Verdict, error) {
 	var verdict *wire.Verdict
-	err := c.insist(ctx, func(call context.Context, o wireconnect.OperateClient) error {
+	err := c.retry(ctx, func(call context.Context, o wireconnect.OperateClient) error {
 		response, err := o.Apply(call, connect.NewRequest(&wire.ApplyRequest{Change: change}))
 		if err == nil {
 			verdict = response.Msg.GetVerdict()
@@ -85,7 +85,7 @@
 // Get reads the catalogue in force.
 func (c *Client) Get(ctx context.Context) (*wire.GetResponse, error) {
 	var out *wire.GetResponse
-	err := c.insist(ctx, func(call context.Context, o wireconnect.OperateClient) error {
+	err := c.retry(ctx, func(call context.Context, o wireconnect.OperateClient) error {
 		response, err := o.Get(call, connect.NewRequest(&wire.GetRequest{}))
 		if err == nil {
 			out = response.Msg
@@ -98,7 +98,7 @@
 // Status reads the leader's overview.
 func (c *Client) Status(ctx context.Context) (*wire.StatusResponse, error) {
 	var out *wire.StatusResponse
-	err := c.insist(ctx, func(call context.Context, o wireconnect.OperateClient) error {
+	err := c.retry(ctx, func(call context.Context, o wireconnect.OperateClient) error {
 		response, err := o.Status(call, connect.NewRequest(&wire.StatusRequest{}))
 		if err != nil {
 			return err
@@ -112,25 +112,25 @@
 	return out, err
 }
 
-func (c *Client) insist(ctx context.Context, run func(context.Context, wireconnect.OperateClient) error) error {
+func (c *Client) retry(ctx context.Context, run func(context.Context, wireconnect.OperateClient) error) error {
 	for {
 		call, cancel := context.WithTimeout(ctx, callTimeout)
 		err := run(call, c.clients[c.next%len(c.clients)])
 		cancel()
-		if err == nil || final(err) {
+		if err == nil || isFinal(err) {
 			return err
 		}
 		c.next++
 		select {
 		case <-ctx.Done():
 			return &UnreachableError{Cause: err}
-		case <-time.After(pause):
+		case <-time.After(retryPause):
 		}
 	}
 }
 
-// final reports answers that no other controller would give differently.
-func final(err error) bool {
+// isFinal reports answers that no other controller would give differently.
+func isFinal(err error) bool {
 	switch connect.CodeOf(err) {
 	case connect.CodeInvalidArgument, connect.CodeUnauthenticated:
 		return true
--- a/standin/internal/cli/cli.go
+++ b/standin/internal/cli/cli.go
@@ -26,7 +26,7 @@
 	defaultWork   = 5 * time.Millisecond
 	headerTimeout = 10 * time.Second
 	stopTimeout   = time.Minute
-	leaveTime     = 3 * time.Second
+	leaveDelay    = 3 * time.Second
 )
 
 // Run runs the program and returns its exit code.
@@ -59,11 +59,11 @@
 			&cli.IntFlag{Name: "slots", Value: 3},
 			&cli.DurationFlag{Name: "work", Value: defaultWork},
 		},
-		Action: target,
+		Action: runTarget,
 	}
 }
 
-func target(ctx context.Context, c *cli.Command) error {
+func runTarget(ctx context.Context, c *cli.Command) error {
 	address, err := netip.ParseAddrPort(c.String("address"))
 	if err != nil {
 		return err
@@ -88,28 +88,28 @@
 	go func() { failed <- server.ListenAndServe() }()
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	announcing, quit := context.WithCancel(context.Background())
-	go a.Run(announcing)
+	announceCtx, stopAnnouncing := context.WithCancel(context.Background())
+	go a.Run(announceCtx)
 	select {
 	case err := <-failed:
-		quit()
+		stopAnnouncing()
 		return err
 	case <-ctx.Done():
 	}
-	quit()
+	stopAnnouncing()
 	return leave(server, a)
 }
 
 // leave says so, lets what was sent meanwhile arrive, and finishes it.
 func leave(server *http.Server, a *backend.Announcer) error {
 	a.Announce("leaving")
-	time.Sleep(leaveTime)
+	time.Sleep(leaveDelay)
 	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
 	return server.Shutdown(ctx)
 }
 
-func placeFlags() []cli.Flag {
+func pathFlags() []cli.Flag {
 	return []cli.Flag{
 		&cli.StringFlag{Name: "programs", Usage: "`FOLDER` with the built programs", Required: true},
 		&cli.StringFlag{Name: "catalogue", Usage: "catalogue `FILE`", Required: true},
@@ -121,7 +121,7 @@
 	return &cli.Command{
 		Name:  "measure",
 		Usage: "start a local system and take its figures",
-		Flags: placeFlags(),
+		Flags: pathFlags(),
 		Action: func(_ context.Context, c *cli.Command) error {
 			return measurer.Run(os.Stdout, measurer.Options{
 				Programs:  c.String("programs"),
@@ -163,7 +163,7 @@
 	return &cli.Command{
 		Name:  "demo",
 		Usage: "start a local system, send each class of request, and show what happened",
-		Flags: append(placeFlags(), failures),
+		Flags: append(pathFlags(), failures),
 		Action: func(_ context.Context, c *cli.Command) error {
 			return demo.Run(os.Stdout, demo.Options{
 				Programs:  c.String("programs"),
--- a/standin/internal/cli/soak.go
+++ b/standin/internal/cli/soak.go
@@ -40,18 +40,18 @@
 func soak(ctx context.Context, c *cli.Command) error {
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	bad := 0
+	failedRuns := 0
 	for seed := c.Uint64("seed"); seed < c.Uint64("seed")+uint64(c.Int("runs")) && ctx.Err() == nil; seed++ {
-		broken, err := soakOnce(ctx, c, seed)
+		violations, err := soakOnce(ctx, c, seed)
 		if err != nil {
 			return err
 		}
-		if broken > 0 {
-			bad++
+		if violations > 0 {
+			failedRuns++
 		}
 	}
-	if bad > 0 {
-		return fmt.Errorf("promises broken in %d of %d runs", bad, c.Int("runs"))
+	if failedRuns > 0 {
+		return fmt.Errorf("promises broken in %d of %d runs", failedRuns, c.Int("runs"))
 	}
 	return nil
 }
@@ -73,14 +73,14 @@
 			}
 		},
 	}
-	broken, err := s.Run(ctx)
+	violations, err := s.Run(ctx)
 	if err != nil {
 		return 0, err
 	}
 	sent, whole := s.Counts()
-	fmt.Printf("seed %d: %d promises broken, %d of %d requests served, logs in %s\n", seed, len(broken), whole, sent, folder)
-	for _, line := range broken {
+	fmt.Printf("seed %d: %d promises broken, %d of %d requests served, logs in %s\n", seed, len(violations), whole, sent, folder)
+	for _, line := range violations {
 		fmt.Println("  " + line)
 	}
-	return len(broken), nil
+	return len(violations), nil
 }
--- a/standin/internal/demo/demo.go
+++ b/standin/internal/demo/demo.go
@@ -25,9 +25,9 @@
 	demoNet     = 77
 	controllers = 3
 	entries     = 2
-	backends    = 4
+	targets     = 4
 	uploadSize  = 8 << 20
-	patience    = 20 * time.Second
+	timeout     = 20 * time.Second
 	rounds      = 20
 	folderMode  = 0o750
 )
@@ -60,7 +60,7 @@
 		return err
 	}
 	d.requests()
-	return d.show()
+	return d.print()
 }
 
 type demo struct {
@@ -72,12 +72,12 @@
 
 // row is one line of the table.
 type row struct {
-	class  string
-	what   string
-	sent   int
-	good   int
-	detail string
-	worst  time.Duration
+	class   string
+	what    string
+	sent    int
+	correct int
+	detail  string
+	slowest time.Duration
 }
 
 func (d *demo) start() error {
@@ -102,7 +102,7 @@
 		return err
 	}
 	fmt.Fprintf(d.out, "applied %s\n", filepath.Base(d.options.Catalogue))
-	for i := range backends {
+	for i := range targets {
 		service := "listings"
 		if i%2 == 1 {
 			service = "bookings"
@@ -117,7 +117,7 @@
 
 // awaitTargets waits until each entry instance can answer for each service.
 func (d *demo) awaitTargets() error {
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(timeout)
 	for _, service := range []string{"listings", "bookings"} {
 		for i := range entries {
 			c := &loader.Caller{Service: service}
@@ -133,7 +133,7 @@
 			}
 		}
 	}
-	fmt.Fprintf(d.out, "%d targets announced themselves\n\n", backends)
+	fmt.Fprintf(d.out, "%d targets announced themselves\n\n", targets)
 	return nil
 }
 
@@ -167,9 +167,9 @@
 	for range count {
 		start := time.Now()
 		a := c.Send(context.Background(), r)
-		out.worst = max(out.worst, time.Since(start))
+		out.slowest = max(out.slowest, time.Since(start))
 		if a.Status == http.StatusOK && a.Err == nil {
-			out.good++
+			out.correct++
 			continue
 		}
 		out.detail = describe(a)
@@ -202,10 +202,10 @@
 		start := time.Now()
 		first := send()
 		second := send()
-		out.worst = max(out.worst, time.Since(start))
+		out.slowest = max(out.slowest, time.Since(start))
 		runs := d.runs(key.String())
 		if first.Status == http.StatusOK && second.Body == first.Body && runs == 1 {
-			out.good++
+			out.correct++
 			continue
 		}
 		out.detail = fmt.Sprintf("%d runs, %s, %s", runs, describe(first), describe(second))
@@ -235,10 +235,10 @@
 	a := c.Send(context.Background(), loader.Request{
 		Method: http.MethodPost, Path: "/photos", Body: io.LimitReader(zeros{}, uploadSize),
 	})
-	out.worst = time.Since(start)
+	out.slowest = time.Since(start)
 	var reply backend.Reply
 	if json.Unmarshal([]byte(a.Body), &reply) == nil && reply.Received == uploadSize {
-		out.good = 1
+		out.correct = 1
 	} else {
 		out.detail = describe(a)
 	}
@@ -252,32 +252,32 @@
 	return len(p), nil
 }
 
-func (d *demo) show() error {
+func (d *demo) print() error {
 	const padding = 2
 	t := tabwriter.NewWriter(d.out, 0, 0, padding, ' ', 0)
 	fmt.Fprintln(t, "CLASS\tREQUESTS\tSENT\tRIGHT\tWORST\tDETAIL")
-	bad := 0
+	incorrect := 0
 	for _, r := range d.rows {
-		fmt.Fprintf(t, "%s\t%s\t%d\t%d\t%s\t%s\n", r.class, r.what, r.sent, r.good,
-			r.worst.Round(time.Millisecond), r.detail)
-		bad += r.sent - r.good
+		fmt.Fprintf(t, "%s\t%s\t%d\t%d\t%s\t%s\n", r.class, r.what, r.sent, r.correct,
+			r.slowest.Round(time.Millisecond), r.detail)
+		incorrect += r.sent - r.correct
 	}
 	if err := t.Flush(); err != nil {
 		return err
 	}
-	if bad > 0 {
-		return &WrongError{Count: bad}
+	if incorrect > 0 {
+		return &IncorrectAnswersError{Count: incorrect}
 	}
 	fmt.Fprintln(d.out, "\nall requests were answered as they should be")
 	return nil
 }
 
-// WrongError counts the requests that were not answered as they should be.
-type WrongError struct {
+// IncorrectAnswersError counts the requests that were not answered as they should be.
+type IncorrectAnswersError struct {
 	Count int
 }
 
 // Error implements error.
-func (e *WrongError) Error() string {
+func (e *IncorrectAnswersError) Error() string {
 	return fmt.Sprintf("%d requests were not answered rightly", e.Count)
 }
--- a/standin/internal/experimenter/policies.go
+++ b/standin/internal/experimenter/policies.go
@@ -18,22 +18,22 @@
 }
 
 const (
-	naiveTimeout = time.Second
-	naiveTries   = 3
+	naiveTimeout  = time.Second
+	naiveAttempts = 3
 )
 
-func newNaive(*world) policy { return &naive{} }
+func newNaive(*simulation) policy { return &naive{} }
 
-func (n *naive) tick(*world) {}
+func (n *naive) tick(*simulation) {}
 
-func (n *naive) arrive(w *world, c *call) {
+func (n *naive) arrive(w *simulation, c *call) {
 	if c.ended {
 		return
 	}
 	c.tries++
-	h := w.hosts[n.next%len(w.hosts)]
+	h := w.targets[n.next%len(w.targets)]
 	n.next++
-	w.after(wire, func() { n.enqueue(w, h, c) })
+	w.after(networkDelay, func() { n.enqueue(w, h, c) })
 	if c.class == cataloguer.Upload {
 		return
 	}
@@ -41,7 +41,7 @@
 		if c.ended {
 			return
 		}
-		if c.tries >= naiveTries || c.class == cataloguer.Once {
+		if c.tries >= naiveAttempts || c.class == cataloguer.Once {
 			w.failed(c)
 			return
 		}
@@ -51,20 +51,20 @@
 }
 
 // enqueue works on a request when its turn comes, also when its caller has gone: the target can't know.
-func (n *naive) enqueue(w *world, h *host, c *call) {
+func (n *naive) enqueue(w *simulation, h *simulatedTarget, c *call) {
 	if h.lost {
 		return
 	}
-	run := func() { w.begin(h, c, func() { w.answered(c) }) }
+	start := func() { w.runWork(h, c, func() { w.answered(c) }) }
 	if h.busy < int(w.Slots) {
-		run()
+		start()
 		return
 	}
-	h.queue = append(h.queue, run)
+	h.queue = append(h.queue, start)
 }
 
-// ours is one instance of the decision packages for each entry instance.
-type ours struct {
+// systemPolicy is one instance of the decision packages for each entry instance.
+type systemPolicy struct {
 	instances []*instance
 }
 
@@ -75,19 +75,19 @@
 	budget   *retrier.Budget
 	balancer balancer.Balancer
 	pool     *balancer.Pool
-	// outstanding are this instance's own slots at each target.
-	own   map[*balancer.Target]*host
-	calls map[*admitter.Ticket]*call
+	// outstanding are this instance's targets slots at each target.
+	targets map[*balancer.Target]*simulatedTarget
+	calls   map[*admitter.Ticket]*call
 }
 
-func newOurs(w *world) policy {
-	o := &ours{}
+func newSystemPolicy(w *simulation) policy {
+	o := &systemPolicy{}
 	for i := range w.Entries {
 		in := &instance{
-			name:   strconv.Itoa(int(i)),
-			budget: retrier.New(),
-			own:    map[*balancer.Target]*host{},
-			calls:  map[*admitter.Ticket]*call{},
+			name:    strconv.Itoa(int(i)),
+			budget:  retrier.New(),
+			targets: map[*balancer.Target]*simulatedTarget{},
+			calls:   map[*admitter.Ticket]*call{},
 		}
 		in.balancer.Random = w.random.Uint64
 		in.refresh(w)
@@ -97,18 +97,18 @@
 }
 
 // refresh takes the targets that have not said that they leave; each instance counts its own requests.
-func (in *instance) refresh(w *world) {
+func (in *instance) refresh(w *simulation) {
 	tier := balancer.Tier{Region: "r"}
 	var known []partitioner.Target
-	for i, h := range w.hosts {
-		u := in.view(h)
-		if h.leaving || h.silent(w.now) {
+	for i, h := range w.targets {
+		u := in.targetFor(h)
+		if h.leaving || h.expired(w.now) {
 			continue
 		}
 		known = append(known, partitioner.Target{Name: strconv.Itoa(i), Region: "r", Slots: int32(w.Slots)})
 		tier.Targets = append(tier.Targets, u)
 	}
-	for i, n := range partitioner.Partition(in.name, partitioner.NewMembers(w.partners()), known) {
+	for i, n := range partitioner.Partition(in.name, partitioner.NewMembers(w.instances()), known) {
 		tier.Targets[i].SetOwn(n)
 	}
 	in.pool = &balancer.Pool{Tiers: []balancer.Tier{tier}}
@@ -116,8 +116,8 @@
 	in.limit.Bound(own, own+in.pool.Borrowable(w.now)/int(w.Entries))
 }
 
-// partners lists the entry instances.
-func (w *world) partners() []partitioner.Instance {
+// instances lists the entry instances.
+func (w *simulation) instances() []partitioner.Instance {
 	var out []partitioner.Instance
 	for i := range w.Entries {
 		out = append(out, partitioner.Instance{Name: strconv.Itoa(int(i)), Region: "r"})
@@ -125,18 +125,18 @@
 	return out
 }
 
-func (in *instance) view(h *host) *balancer.Target {
-	for u, o := range in.own {
+func (in *instance) targetFor(h *simulatedTarget) *balancer.Target {
+	for u, o := range in.targets {
 		if o == h {
 			return u
 		}
 	}
 	u := &balancer.Target{Region: "r", Slots: h.Slots}
-	in.own[u] = h
+	in.targets[u] = h
 	return u
 }
 
-func (o *ours) tick(w *world) {
+func (o *systemPolicy) tick(w *simulation) {
 	for _, in := range o.instances {
 		if w.now.UnixMilli()%200 == 0 {
 			in.refresh(w)
@@ -150,16 +150,16 @@
 }
 
 // report passes the targets' loads on, once a second and late.
-func (in *instance) report(w *world) {
+func (in *instance) report(w *simulation) {
 	if w.Reports == 0 || w.now.UnixMilli()%1000 != 0 {
 		return
 	}
-	for u, h := range in.own {
+	for u, h := range in.targets {
 		u.SetReport(balancer.Report{Load: int32(h.busy), At: w.now.Add(-w.Reports)})
 	}
 }
 
-func (o *ours) arrive(w *world, c *call) {
+func (o *systemPolicy) arrive(w *simulation, c *call) {
 	in := o.instances[c.entry]
 	in.resize(w, o)
 	t := &admitter.Ticket{Class: c.class, Organisation: "organisation", Deadline: c.deadline}
@@ -174,13 +174,13 @@
 	}
 }
 
-func (in *instance) resize(w *world, o *ours) {
+func (in *instance) resize(w *simulation, o *systemPolicy) {
 	if in.limit.Limit() != in.queue.Capacity() {
 		o.admit(w, in, in.queue.SetCapacity(w.now, in.limit.Limit()))
 	}
 }
 
-func (o *ours) admit(w *world, in *instance, tickets []*admitter.Ticket) {
+func (o *systemPolicy) admit(w *simulation, in *instance, tickets []*admitter.Ticket) {
 	for _, t := range tickets {
 		c := in.calls[t]
 		delete(in.calls, t)
@@ -188,17 +188,17 @@
 	}
 }
 
-func (o *ours) finish(w *world, in *instance, t *admitter.Ticket) {
+func (o *systemPolicy) finish(w *simulation, in *instance, t *admitter.Ticket) {
 	o.admit(w, in, in.queue.Done(w.now, t))
 	in.resize(w, o)
 }
 
 // start finds a slot and sends, or gives up.
-func (o *ours) start(w *world, in *instance, t *admitter.Ticket, c *call) {
-	o.try(w, in, t, c, nil)
+func (o *systemPolicy) start(w *simulation, in *instance, t *admitter.Ticket, c *call) {
+	o.attempt(w, in, t, c, nil)
 }
 
-func (o *ours) try(w *world, in *instance, t *admitter.Ticket, c *call, tried []*balancer.Target) {
+func (o *systemPolicy) attempt(w *simulation, in *instance, t *admitter.Ticket, c *call, tried []*balancer.Target) {
 	if !c.deadline.IsZero() && !w.now.Before(c.deadline) {
 		w.refused(c)
 		o.finish(w, in, t)
@@ -206,32 +206,32 @@
 	}
 	u := in.balancer.Choose(w.now, in.pool, "r", tried)
 	if u == nil {
-		w.after(settle, func() { o.try(w, in, t, c, nil) })
+		w.after(retryPause, func() { o.attempt(w, in, t, c, nil) })
 		return
 	}
 	c.tries++
-	h := in.own[u]
-	w.after(wire, func() {
+	h := in.targets[u]
+	w.after(networkDelay, func() {
 		switch {
 		case h.lost:
 			u.Release()
 			u.Fail(w.now)
-			o.again(w, in, t, c, append(tried, u))
+			o.retryOrRefuse(w, in, t, c, append(tried, u))
 		case h.busy >= int(w.Slots):
 			w.result.Shed++
 			u.Release()
 			in.limit.Shed(w.now)
-			o.again(w, in, t, c, append(tried, u))
+			o.retryOrRefuse(w, in, t, c, append(tried, u))
 		default:
 			o.run(w, in, t, c, u)
 		}
 	})
 }
 
-const settle = 2 * time.Millisecond
+const retryPause = 2 * time.Millisecond
 
-func (o *ours) run(w *world, in *instance, t *admitter.Ticket, c *call, u *balancer.Target) {
-	w.begin(in.own[u], c, func() {
+func (o *systemPolicy) run(w *simulation, in *instance, t *admitter.Ticket, c *call, u *balancer.Target) {
+	w.runWork(in.targets[u], c, func() {
 		u.Release()
 		u.Succeed()
 		in.budget.Succeed()
@@ -241,11 +241,11 @@
 	})
 }
 
-func (o *ours) again(w *world, in *instance, t *admitter.Ticket, c *call, tried []*balancer.Target) {
+func (o *systemPolicy) retryOrRefuse(w *simulation, in *instance, t *admitter.Ticket, c *call, tried []*balancer.Target) {
 	a := retrier.Attempt{Ending: retrier.Unrun, Replayable: true, Tries: c.tries}
 	if in.budget.Again(a) {
 		w.result.Retries++
-		o.try(w, in, t, c, tried)
+		o.attempt(w, in, t, c, tried)
 		return
 	}
 	w.refused(c)
--- a/standin/internal/experimenter/report.go
+++ b/standin/internal/experimenter/report.go
@@ -15,7 +15,7 @@
 		s.Entries, s.Targets, s.Slots, s.Service, s.capacity(), s.Seed)
 	fmt.Fprintln(out, "| policy | class | calls | answered | refused | failed | p50 | p99 | p99.9 |")
 	fmt.Fprintln(out, "|---|---|---|---|---|---|---|---|---|")
-	before, after := Run(s, newNaive), Run(s, newOurs)
+	before, after := Run(s, newNaive), Run(s, newSystemPolicy)
 	before.rows(out, "naive")
 	after.rows(out, "ours")
 	fmt.Fprintln(out, "\n| policy | phase | load | offered/s | answered/s | slot time in answers |")
@@ -25,12 +25,12 @@
 		after.phaseRow(out, "ours", s, p, i)
 	}
 	fmt.Fprintf(out, "\nretries per call: naive %.3f, ours %.3f; work outside slots: naive %d, ours %d; shed by targets: ours %d\n",
-		before.retries(), after.retries(), before.Outside, after.Outside, after.Shed)
+		before.retries(), after.retries(), before.Overcommitted, after.Overcommitted, after.Shed)
 }
 
 func (r *Result) phaseRow(out io.Writer, name string, s *Scenario, p Phase, i int) {
 	fmt.Fprintf(out, "| %s | %s | %d%% | %.0f | %.0f | %.0f%% |\n", name, p.Name, p.Load, r.Offered[i], r.Goodput[i],
-		r.useful(s, i))
+		r.utilisation(s, i))
 }
 
 func (r *Result) retries() float64 {
--- a/standin/internal/experimenter/world.go
+++ b/standin/internal/experimenter/world.go
@@ -14,9 +14,9 @@
 
 const (
 	uploadFactor = 20
-	// patience is how long a caller waits for an answer; uploads wait as long as it takes.
-	patience = 3 * time.Second
-	wire     = time.Millisecond
+	// callerTimeout is how long a caller waits for an answer; uploads wait as long as it takes.
+	callerTimeout = 3 * time.Second
+	networkDelay  = time.Millisecond
 )
 
 // call is one request of a caller.
@@ -32,46 +32,46 @@
 
 // policy is what lies between callers and targets.
 type policy interface {
-	arrive(w *world, c *call)
-	tick(w *world)
+	arrive(w *simulation, c *call)
+	tick(w *simulation)
 }
 
-// host is a target with its slots. What does not fit is shed or queued, as the policy's targets do.
-type host struct {
+// simulatedTarget is a target with its slots. What does not fit is shed or queued, as the policy's targets do.
+type simulatedTarget struct {
 	*balancer.Target
 	queue   []func()
 	busy    int
-	most    int
+	peak    int
 	lost    bool
 	leaving bool
-	// lostAt is when a lost host announced itself last.
-	lostAt time.Time
+	// announcedAt is when a lost host announced itself last.
+	announcedAt time.Time
 }
 
-// silent reports whether the host's last announcement no longer holds.
-func (h *host) silent(now time.Time) bool {
-	return h.lost && now.Sub(h.lostAt) >= registrar.Lease
+// expired reports whether the host's last announcement no longer holds.
+func (h *simulatedTarget) expired(now time.Time) bool {
+	return h.lost && now.Sub(h.announcedAt) >= registrar.Lease
 }
 
-// world is the logical time, the targets and the counts.
-type world struct {
+// simulation is the logical time, the targets and the counts.
+type simulation struct {
 	*Scenario
-	now    time.Time
-	random *rand.Rand
-	events events
-	serial int
-	hosts  []*host
-	policy policy
-	result *Result
+	now     time.Time
+	random  *rand.Rand
+	events  events
+	serial  int
+	targets []*simulatedTarget
+	policy  policy
+	result  *Result
 }
 
 // Result is what the callers of one run saw.
 type Result struct {
 	Classes map[cataloguer.Class]*ClassResult
 	// Retries counts attempts beyond the first; Outside counts work that began without a free slot.
-	Retries int
-	Outside int
-	Shed    int
+	Retries       int
+	Overcommitted int
+	Shed          int
 	// Goodput is the answers a second in each phase, and Offered the requests.
 	Goodput []float64
 	Offered []float64
@@ -125,13 +125,13 @@
 	return last
 }
 
-func (w *world) after(d time.Duration, run func()) {
+func (w *simulation) after(d time.Duration, run func()) {
 	w.serial++
 	heap.Push(&w.events, event{w.now.Add(d), w.serial, run})
 }
 
-func newWorld(s *Scenario, build func(w *world) policy) *world {
-	w := &world{
+func newSimulation(s *Scenario, build func(w *simulation) policy) *simulation {
+	w := &simulation{
 		Scenario: s,
 		now:      time.Unix(1_000_000, 0),
 		random:   rand.New(rand.NewPCG(uint64(s.Seed), 41)),
@@ -146,23 +146,23 @@
 		w.result.Classes[c] = &ClassResult{Times: hdrhistogram.New(1, int64(10*time.Minute/time.Microsecond), 3)}
 	}
 	for range s.Targets {
-		w.hosts = append(w.hosts, &host{Target: &balancer.Target{Region: "r", Slots: int32(s.Slots)}})
+		w.targets = append(w.targets, &simulatedTarget{Target: &balancer.Target{Region: "r", Slots: int32(s.Slots)}})
 	}
 	w.policy = build(w)
 	return w
 }
 
 // Run plays the scenario against one policy.
-func Run(s *Scenario, build func(w *world) policy) *Result {
-	w := newWorld(s, build)
+func Run(s *Scenario, build func(w *simulation) policy) *Result {
+	w := newSimulation(s, build)
 	var start time.Duration
 	for i := range s.Phases {
-		w.after(start, func() { w.enter(i) })
+		w.after(start, func() { w.startPhase(i) })
 		start += s.Phases[i].Length
 	}
 	end := w.now.Add(start)
 	w.after(0, func() { w.tick(end) })
-	w.after(0, func() { w.next(end) })
+	w.after(0, func() { w.scheduleArrivals(end) })
 	for len(w.events) > 0 {
 		e, ok := heap.Pop(&w.events).(event)
 		if !ok {
@@ -178,63 +178,63 @@
 	return w.result
 }
 
-// useful is the percentage of all slot time in a phase that went into answers.
-func (r *Result) useful(s *Scenario, phase int) float64 {
+// utilisation is the percentage of all slot time in a phase that went into answers.
+func (r *Result) utilisation(s *Scenario, phase int) float64 {
 	all := s.Phases[phase].Length * time.Duration(s.Targets*s.Slots)
 	return percent * float64(r.work[phase]) / float64(all)
 }
 
-func (w *world) enter(phase int) {
+func (w *simulation) startPhase(phase int) {
 	w.result.phase = phase
 	p := w.Phases[phase]
-	for i, h := range w.hosts {
+	for i, h := range w.targets {
 		lost := int64(i) < p.Lost
 		if lost && !h.lost {
-			h.lostAt = w.now
+			h.announcedAt = w.now
 		}
 		h.lost = lost
 		h.leaving = int64(i) >= p.Lost && int64(i) < p.Lost+p.Leaving
 	}
 }
 
-const tickTime = 20 * time.Millisecond
+const tickInterval = 20 * time.Millisecond
 
-func (w *world) tick(end time.Time) {
+func (w *simulation) tick(end time.Time) {
 	w.policy.tick(w)
 	if w.now.Before(end) {
-		w.after(tickTime, func() { w.tick(end) })
+		w.after(tickInterval, func() { w.tick(end) })
 	}
 }
 
-// next lets one caller arrive and arranges the one after it, at random times around the phase's load.
-func (w *world) next(end time.Time) {
+// scheduleArrivals lets one caller arrive and arranges the one after it, at random times around the phase's load.
+func (w *simulation) scheduleArrivals(end time.Time) {
 	if !w.now.Before(end) {
 		return
 	}
 	rate := w.capacity() * float64(w.Phases[w.result.phase].Load) / percent
 	if rate <= 0 {
-		w.after(tickTime, func() { w.next(end) })
+		w.after(tickInterval, func() { w.scheduleArrivals(end) })
 		return
 	}
 	w.arrive()
 	gap := time.Duration(w.random.ExpFloat64() / rate * float64(time.Second))
-	w.after(gap, func() { w.next(end) })
+	w.after(gap, func() { w.scheduleArrivals(end) })
 }
 
-func (w *world) arrive() {
+func (w *simulation) arrive() {
 	c := &call{class: w.class(), due: w.now, entry: w.random.IntN(int(w.Entries))}
 	c.work = time.Duration(w.random.ExpFloat64() * float64(w.Service))
 	if c.class == cataloguer.Upload {
 		c.work *= uploadFactor
 	} else {
-		c.deadline = w.now.Add(patience)
+		c.deadline = w.now.Add(callerTimeout)
 	}
 	w.result.Classes[c.class].Calls++
 	w.result.calls[w.result.phase]++
 	w.policy.arrive(w, c)
 }
 
-func (w *world) class() cataloguer.Class {
+func (w *simulation) class() cataloguer.Class {
 	n := w.random.Int64N(percent)
 	for _, c := range []cataloguer.Class{cataloguer.Urgent, cataloguer.Once, cataloguer.Upload} {
 		if n < w.Shares[c] {
@@ -246,7 +246,7 @@
 }
 
 // answered counts an answer if its caller still waits.
-func (w *world) answered(c *call) {
+func (w *simulation) answered(c *call) {
 	if c.ended {
 		return
 	}
@@ -262,26 +262,26 @@
 	_ = r.Times.RecordValue(int64(w.now.Sub(c.due) / time.Microsecond))
 }
 
-func (w *world) refused(c *call) {
+func (w *simulation) refused(c *call) {
 	if !c.ended {
 		c.ended = true
 		w.result.Classes[c.class].Refused++
 	}
 }
 
-func (w *world) failed(c *call) {
+func (w *simulation) failed(c *call) {
 	if !c.ended {
 		c.ended = true
 		w.result.Classes[c.class].Failed++
 	}
 }
 
-// begin runs work in a slot and calls done when it is over.
-func (w *world) begin(h *host, c *call, done func()) {
+// runWork runs work in a slot and calls done when it is over.
+func (w *simulation) runWork(h *simulatedTarget, c *call, done func()) {
 	h.busy++
-	h.most = max(h.most, h.busy)
+	h.peak = max(h.peak, h.busy)
 	if h.busy > int(w.Slots) {
-		w.result.Outside++
+		w.result.Overcommitted++
 	}
 	w.after(c.work, func() {
 		h.busy--
--- a/standin/internal/measurer/idle.go
+++ b/standin/internal/measurer/idle.go
@@ -23,8 +23,8 @@
 	memory float64
 }
 
-// idle measures what control alone costs while no caller asks for anything.
-func (m *measurer) idle() error {
+// measureIdle measures what control alone costs while no caller asks for anything.
+func (m *measurer) measureIdle() error {
 	fmt.Fprintf(m.out, "\nControl alone, %d entry instances, %d targets, over %s\n\n", entries, len(m.system.Targets), idleTime)
 	fmt.Fprintln(m.out, "| role | share of a core, mean | busiest | resident memory, most |\n|---|---|---|---|")
 	roles := []struct {
--- a/standin/internal/measurer/measurer.go
+++ b/standin/internal/measurer/measurer.go
@@ -28,14 +28,14 @@
 	controllers = 3
 	entries     = 12
 	folderMode  = 0o750
-	patience    = 20 * time.Second
+	timeout     = 20 * time.Second
 
-	rate       = 2000
-	runTime    = 10 * time.Second
-	changes    = 200
-	killRounds = 30
-	bookings   = 2000
-	bookers    = 16
+	rate           = 2000
+	runTime        = 10 * time.Second
+	changes        = 200
+	killRounds     = 30
+	bookings       = 2000
+	bookingCallers = 16
 )
 
 // Options say where things are.
@@ -78,7 +78,7 @@
 	if err := m.start(); err != nil {
 		return err
 	}
-	for _, step := range []func() error{m.idle, m.latency, m.lookups, m.bookings, m.inForce, m.elections} {
+	for _, step := range []func() error{m.measureIdle, m.measureLatency, m.measureLookups, m.measureBookings, m.measureInForce, m.measureElections} {
 		if err := step(); err != nil {
 			return err
 		}
@@ -108,7 +108,7 @@
 		}
 	}
 	for _, service := range []string{"listings", "bookings"} {
-		if err := m.await(service); err != nil {
+		if err := m.awaitService(service); err != nil {
 			return err
 		}
 	}
@@ -116,9 +116,9 @@
 	return nil
 }
 
-func (m *measurer) await(service string) error {
+func (m *measurer) awaitService(service string) error {
 	c := &loader.Caller{Service: service}
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(timeout)
 	for time.Now().Before(deadline) {
 		a := c.SendTo(context.Background(), m.system.CallerURL(0), loader.Request{Method: http.MethodGet, Path: "/"})
 		if a.Status == http.StatusOK {
@@ -133,30 +133,30 @@
 	return hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
 }
 
-func (m *measurer) row(what string, h *hdrhistogram.Histogram, failed int) {
+func (m *measurer) printRow(what string, h *hdrhistogram.Histogram, failed int) {
 	at := func(q float64) time.Duration { return time.Duration(h.ValueAtQuantile(q)) * time.Microsecond }
 	fmt.Fprintf(m.out, "| %s | %d | %s | %s | %s | %s | %d |\n", what, h.TotalCount(), at(50), at(99), at(99.9),
 		time.Duration(h.Max())*time.Microsecond, failed)
 }
 
-func (m *measurer) head(title string) {
+func (m *measurer) printHeading(title string) {
 	fmt.Fprintf(m.out, "\n%s\n\n| what | count | p50 | p99 | p99.9 | worst | failed |\n|---|---|---|---|---|---|---|\n", title)
 }
 
-// latency compares calls through an entry instance with calls to the target itself, at an open rate:
+// measureLatency compares calls through an entry instance with calls to the target itself, at an open rate:
 // each request's time counts from when it was due.
-func (m *measurer) latency() error {
-	m.head(fmt.Sprintf("Latency at %d requests/s over %s, GET, target work 0", rate, runTime))
+func (m *measurer) measureLatency() error {
+	m.printHeading(fmt.Sprintf("Latency at %d requests/s over %s, GET, target work 0", rate, runTime))
 	direct, failed := openLoop(m.system.TargetURL(0), rate, runTime)
-	m.row("target directly", direct, failed)
+	m.printRow("target directly", direct, failed)
 	through, failed := openLoop(m.system.CallerURL(0), rate, runTime)
-	m.row("through an entry instance", through, failed)
+	m.printRow("through an entry instance", through, failed)
 	fmt.Fprintf(m.out, "\nadded: p50 %d µs, p99 %d µs\n", through.ValueAtQuantile(50)-direct.ValueAtQuantile(50),
 		through.ValueAtQuantile(99)-direct.ValueAtQuantile(99))
 	return nil
 }
 
-func openLoop(base string, perSecond int, long time.Duration) (*hdrhistogram.Histogram, int) {
+func openLoop(base string, perSecond int, duration time.Duration) (*hdrhistogram.Histogram, int) {
 	c := &loader.Caller{Service: "listings"}
 	h := newHistogram()
 	failed := 0
@@ -164,15 +164,15 @@
 	var group sync.WaitGroup
 	gap := time.Second / time.Duration(perSecond)
 	start := time.Now()
-	for i := range int(long / gap) {
+	for i := range int(duration / gap) {
 		due := start.Add(time.Duration(i) * gap)
 		time.Sleep(time.Until(due))
 		group.Go(func() {
 			a := c.SendTo(context.Background(), base, loader.Request{Method: http.MethodGet, Path: "/venue/1"})
-			took := time.Since(due)
+			elapsed := time.Since(due)
 			mu.Lock()
 			defer mu.Unlock()
-			_ = h.RecordValue(int64(took / time.Microsecond))
+			_ = h.RecordValue(int64(elapsed / time.Microsecond))
 			if a.Status != http.StatusOK {
 				failed++
 			}
@@ -182,8 +182,8 @@
 	return h, failed
 }
 
-// lookups sends look-ups over kept connections as fast as they are answered.
-func (m *measurer) lookups() error {
+// measureLookups sends look-ups over kept connections as fast as they are answered.
+func (m *measurer) measureLookups() error {
 	const callers = 16
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: callers}}
 	h := newHistogram()
@@ -207,8 +207,8 @@
 		})
 	}
 	group.Wait()
-	m.head("Look-ups over HTTP, 16 callers on the same machine")
-	m.row("look-up", h, failed)
+	m.printHeading("Look-ups over HTTP, 16 callers on the same machine")
+	m.printRow("look-up", h, failed)
 	fmt.Fprintf(m.out, "\n%.0f look-ups/s by one entry instance, callers included on the machine\n",
 		float64(total)/(runTime/2).Seconds())
 	return nil
@@ -224,15 +224,15 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// bookings compares requests that must not repeat with ordinary ones of the same service.
-func (m *measurer) bookings() error {
-	m.head(fmt.Sprintf("Bookings, %d callers, claim and outcome synced on two of three disks", bookers))
+// measureBookings compares requests that must not repeat with ordinary ones of the same service.
+func (m *measurer) measureBookings() error {
+	m.printHeading(fmt.Sprintf("Bookings, %d callers, claim and outcome synced on two of three disks", bookingCallers))
 	plain, failed, _ := m.closedLoop(loader.Request{Method: http.MethodGet, Path: "/", Organisation: "dumpling-club"})
-	m.row("GET of the same service", plain, failed)
-	claimed, failed, took := m.closedLoop(loader.Request{Method: http.MethodPost, Path: "/rsvp", Organisation: "dumpling-club"})
-	m.row("booking", claimed, failed)
+	m.printRow("GET of the same service", plain, failed)
+	claimed, failed, elapsed := m.closedLoop(loader.Request{Method: http.MethodPost, Path: "/rsvp", Organisation: "dumpling-club"})
+	m.printRow("booking", claimed, failed)
 	fmt.Fprintf(m.out, "\nadded: p50 %d µs; %.0f bookings/s (two commits each)\n",
-		claimed.ValueAtQuantile(50)-plain.ValueAtQuantile(50), float64(bookings-failed)/took.Seconds())
+		claimed.ValueAtQuantile(50)-plain.ValueAtQuantile(50), float64(bookings-failed)/elapsed.Seconds())
 	return nil
 }
 
@@ -242,10 +242,10 @@
 	failed := 0
 	var mu sync.Mutex
 	var group sync.WaitGroup
-	began := time.Now()
-	for i := range bookers {
+	started := time.Now()
+	for i := range bookingCallers {
 		group.Go(func() {
-			for range bookings / bookers {
+			for range bookings / bookingCallers {
 				request := r
 				if r.Method == http.MethodPost {
 					request.Key = uuid.Must(uuid.NewV7()).String()
@@ -263,7 +263,7 @@
 		})
 	}
 	group.Wait()
-	return h, failed, time.Since(began)
+	return h, failed, time.Since(started)
 }
 
 func (m *measurer) client(i int) wireconnect.OperateClient {
@@ -290,7 +290,7 @@
 	m.number++
 	text := fmt.Sprintf("%s\n; change %d\n", m.catalogue, m.number)
 	change := &wire.Change{Id: uuid.NewString(), Number: m.number, Catalogue: []byte(text)}
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(timeout)
 	for i := 0; time.Now().Before(deadline); i++ {
 		if i%controllers == skip {
 			continue
@@ -316,26 +316,26 @@
 	return -1
 }
 
-// inForce measures from a change's acceptance until every entry instance confirmed it.
-func (m *measurer) inForce() error {
-	m.head(fmt.Sprintf("From accepted to in force on %d entry instances", entries))
-	h, err := m.inForceRun(-1)
+// measureInForce measures from a change's acceptance until every entry instance confirmed it.
+func (m *measurer) measureInForce() error {
+	m.printHeading(fmt.Sprintf("From accepted to in force on %d entry instances", entries))
+	h, err := m.timeInForce(-1)
 	if err != nil {
 		return err
 	}
-	m.row("all controllers up", h, 0)
+	m.printRow("all controllers up", h, 0)
 	frozen := (m.leader() + 1) % controllers
 	m.system.Controllers[frozen].Freeze()
 	defer m.system.Controllers[frozen].Thaw()
-	h, err = m.inForceRun(frozen)
+	h, err = m.timeInForce(frozen)
 	if err != nil {
 		return err
 	}
-	m.row("one controller frozen", h, 0)
+	m.printRow("one controller frozen", h, 0)
 	return nil
 }
 
-func (m *measurer) inForceRun(skip int) (*hdrhistogram.Histogram, error) {
+func (m *measurer) timeInForce(skip int) (*hdrhistogram.Histogram, error) {
 	h := newHistogram()
 	for range changes {
 		if err := m.apply(skip); err != nil {
@@ -343,7 +343,7 @@
 		}
 		start := time.Now()
 		for !m.confirmed(skip) {
-			if time.Since(start) > patience {
+			if time.Since(start) > timeout {
 				return nil, &starter.TimeoutError{Awaited: "confirmation"}
 			}
 			time.Sleep(2 * time.Millisecond)
@@ -364,9 +364,9 @@
 	return confirmed == entries
 }
 
-// elections kills the leader again and again, and measures until another one answers.
-func (m *measurer) elections() error {
-	m.head("Without a leader after its kill")
+// measureElections kills the leader again and again, and measures until another one answers.
+func (m *measurer) measureElections() error {
+	m.printHeading("Without a leader after its kill")
 	h := newHistogram()
 	for range killRounds {
 		old := m.leader()
@@ -376,7 +376,7 @@
 		m.system.Controllers[old].Kill()
 		start := time.Now()
 		for m.status(old) == nil {
-			if time.Since(start) > patience {
+			if time.Since(start) > timeout {
 				return &starter.TimeoutError{Awaited: "election"}
 			}
 			time.Sleep(5 * time.Millisecond)
@@ -387,6 +387,6 @@
 		}
 		time.Sleep(1500 * time.Millisecond)
 	}
-	m.row("election", h, 0)
+	m.printRow("election", h, 0)
 	return nil
 }
--- a/standin/internal/sloper/measures.go
+++ b/standin/internal/sloper/measures.go
@@ -28,7 +28,7 @@
 	lookups     = 200_000
 	limitCount  = 20
 	holderLease = 4 * time.Second
-	micro       = float64(time.Microsecond)
+	microsecond = float64(time.Microsecond)
 )
 
 func measures() []func() []*Series {
@@ -57,10 +57,10 @@
 	for _, n := range []int{100_000, 1_000_000, 2_000_000, 3_100_000} {
 		input := blocks(n)
 		var table *mapper.Table
-		took := timeOf(1, 1, func() { table = mapper.Build(input) })
+		took := minTime(1, 1, func() { table = mapper.Build(input) })
 		build.add(n, float64(took)/float64(time.Millisecond))
 		table = nil
-		memory.add(n, heapOf(func() any {
+		memory.add(n, heapGrowth(func() any {
 			table = mapper.Build(input)
 			return table
 		}))
@@ -71,7 +71,7 @@
 			addresses[i] = netip.AddrFrom4([4]byte{byte(v >> 24), byte(v >> 16), byte(v >> 8), byte(v)})
 		}
 		i := 0
-		find.add(n, float64(timeOf(rounds, lookups, func() {
+		find.add(n, float64(minTime(rounds, lookups, func() {
 			table.Find(addresses[i&(1<<16-1)])
 			i++
 		})))
@@ -98,12 +98,12 @@
 		l := chooser.New(instances, []string{"r0", "r1"}, strings.Compare)
 		client := netip.MustParseAddr("10.1.2.3")
 		var chosen [chooser.MaxAnswers]*chooser.Instance
-		out.add(n, float64(timeOf(rounds, 20_000, func() { l.Choose(client, "r0", &chosen) })))
+		out.add(n, float64(minTime(rounds, 20_000, func() { l.Choose(client, "r0", &chosen) })))
 	}
 	return []*Series{out}
 }
 
-func node(i int) *wire.Node {
+func instance(i int) *wire.Node {
 	return &wire.Node{
 		Name: fmt.Sprintf("instance-%05d", i), Incarnation: rand.Uint64(), Caller: "127.100.100.100:8000",
 		Peer: "127.100.100.100:8002", Region: "valle-central", Zone: "valle-central-a", Number: 100_000, Spare: 100,
@@ -125,7 +125,7 @@
 	request := &Series{Name: "heartbeat, there and back", Unit: "bytes", Per: "shared limit"}
 	roster := &Series{Name: "roster in an answer", Unit: "bytes", Per: "instance"}
 	for _, n := range []int{5, 20, 80} {
-		r := &wire.RenewRequest{Node: node(1), Sequence: 1 << 30, Holdings: holdings(n), Group: rand.Uint64(), Roster: rand.Uint64()}
+		r := &wire.RenewRequest{Node: instance(1), Sequence: 1 << 30, Holdings: holdings(n), Group: rand.Uint64(), Roster: rand.Uint64()}
 		a := &wire.RenewResponse{Sequence: 1 << 30, Group: r.GetGroup(), Number: 100_000, Roster: r.GetRoster(), Lease: int64(holderLease)}
 		for _, h := range r.GetHoldings() {
 			a.Grants = append(a.Grants, &wire.Grant{Resource: h.GetResource(), Share: 1000})
@@ -135,7 +135,7 @@
 	for _, n := range []int{12, 100, 1000} {
 		a := &wire.RenewResponse{}
 		for i := range n {
-			a.Nodes = append(a.Nodes, node(i))
+			a.Nodes = append(a.Nodes, instance(i))
 		}
 		roster.add(n, float64(proto.Size(a)))
 	}
@@ -166,7 +166,7 @@
 			renew(i)
 		}
 		i := 0
-		out.add(n, float64(timeOf(rounds, 50, func() { renew(i % n); i++ }))/micro)
+		out.add(n, float64(minTime(rounds, 50, func() { renew(i % n); i++ }))/microsecond)
 	}
 	return []*Series{out}
 }
@@ -174,15 +174,15 @@
 func members() []*Series {
 	out := &Series{Name: "leader's memory with 20 limits", Unit: "bytes", Per: "member"}
 	for _, n := range []int{100, 500, 1000} {
-		out.add(n, heapOf(func() any {
+		out.add(n, heapGrowth(func() any {
 			g := &granter.Granter{Lease: holderLease}
 			g.SetLimits(limits(limitCount))
-			var nodes []*wire.Node
+			var instances []*wire.Node
 			for i := range n {
-				nodes = append(nodes, node(i))
-				_, _ = g.Renew(time.Now(), granter.HolderID{Name: nodes[i].GetName(), Incarnation: 1}, 1, holdings(limitCount))
+				instances = append(instances, instance(i))
+				_, _ = g.Renew(time.Now(), granter.HolderID{Name: instances[i].GetName(), Incarnation: 1}, 1, holdings(limitCount))
 			}
-			return []any{g, nodes}
+			return []any{g, instances}
 		}))
 	}
 	return []*Series{out}
@@ -197,9 +197,9 @@
 
 func targets() []*Series {
 	memory := &Series{Name: "register of targets", Unit: "bytes", Per: "target"}
-	passing := &Series{Name: "announcements passed on", Unit: "bytes", Per: "target"}
+	forwarded := &Series{Name: "announcements passed on", Unit: "bytes", Per: "target"}
 	for _, n := range []int{64, 1000, 10_000} {
-		memory.add(n, heapOf(func() any {
+		memory.add(n, heapGrowth(func() any {
 			g := &registrar.Registrar{}
 			for i := range n {
 				g.Merge(time.Now(), record(i))
@@ -210,9 +210,9 @@
 		for i := range n {
 			r.Records = append(r.Records, record(i))
 		}
-		passing.add(n, float64(proto.Size(r)))
+		forwarded.add(n, float64(proto.Size(r)))
 	}
-	return []*Series{memory, passing}
+	return []*Series{memory, forwarded}
 }
 
 // catalogue is one with so many entries, spread over 17 regions.
@@ -234,11 +234,11 @@
 	for _, n := range []int{50, 200, 1000} {
 		text := catalogue(n)
 		size.add(n, float64(len(text)))
-		parse.add(n, float64(timeOf(3, 1, func() {
+		parse.add(n, float64(minTime(3, 1, func() {
 			if _, err := cataloguer.Parse("slope", text); err != nil {
 				panic(err)
 			}
-		}))/micro)
+		}))/microsecond)
 	}
 	return []*Series{size, parse}
 }
@@ -250,7 +250,7 @@
 	}
 }
 
-func fill(l *claimer.Ledger, from, to int, now time.Time) {
+func fillLedger(l *claimer.Ledger, from, to int, now time.Time) {
 	for i := from; i < to; i++ {
 		c := claim(i, now)
 		l.Claim(now, c)
@@ -267,12 +267,12 @@
 	now := time.Now()
 	for _, n := range []int{1000, 10_000, 50_000} {
 		l := &claimer.Ledger{Bound: 1 << 40}
-		memory.add(n, heapOf(func() any {
-			fill(l, 0, n, now)
+		memory.add(n, heapGrowth(func() any {
+			fillLedger(l, 0, n, now)
 			return l
 		}))
 		start := time.Now()
-		fill(l, n, n+1000, now)
+		fillLedger(l, n, n+1000, now)
 		cost.add(n, float64(time.Since(start))/1000)
 	}
 	for i := range cost.Sizes {
@@ -289,11 +289,11 @@
 	for _, n := range []int{1000, 10_000, 50_000} {
 		k := &keeper.Keeper{}
 		k.Ledger.Bound = 1 << 40
-		fill(&k.Ledger, 0, n, now)
+		fillLedger(&k.Ledger, 0, n, now)
 		var data []byte
-		write.add(n, float64(timeOf(3, 1, func() { data, _ = k.Snapshot() }))/micro)
+		write.add(n, float64(minTime(3, 1, func() { data, _ = k.Snapshot() }))/microsecond)
 		size.add(n, float64(len(data)))
-		read.add(n, float64(timeOf(3, 1, func() { _ = (&keeper.Keeper{}).Restore(data) }))/micro)
+		read.add(n, float64(minTime(3, 1, func() { _ = (&keeper.Keeper{}).Restore(data) }))/microsecond)
 	}
 	return []*Series{size, write, read}
 }
@@ -313,14 +313,14 @@
 	defer func() { _ = s.Close() }()
 	var index uint64
 	for _, n := range []int{1, 16, 64, 256} {
-		out.add(n, float64(timeOf(rounds, 20, func() {
+		out.add(n, float64(minTime(rounds, 20, func() {
 			var batch []*wire.Entry
 			for range n {
 				index++
 				batch = append(batch, &wire.Entry{Index: index, Term: 1, Data: make([]byte, 200)})
 			}
 			_ = s.Save(nil, batch)
-		}))/micro)
+		}))/microsecond)
 	}
 	return []*Series{out}
 }
@@ -336,7 +336,7 @@
 		}
 		b := &balancer.Balancer{Random: rand.New(rand.NewPCG(1, 23)).Uint64}
 		now := time.Now()
-		out.add(n, float64(timeOf(rounds, lookups, func() { b.Choose(now, p, "r", nil).Release() })))
+		out.add(n, float64(minTime(rounds, lookups, func() { b.Choose(now, p, "r", nil).Release() })))
 	}
 	return []*Series{out}
 }
--- a/standin/internal/sloper/sloper.go
+++ b/standin/internal/sloper/sloper.go
@@ -23,9 +23,9 @@
 }
 
 // Fit returns the line's start and slope, and the share of the variation that it explains.
-func (s *Series) Fit() (start, slope, explained float64) {
-	start, slope = stat.LinearRegression(s.Sizes, s.Values, nil, false)
-	return start, slope, stat.RSquared(s.Sizes, s.Values, nil, start, slope)
+func (s *Series) Fit() (intercept, slope, rSquared float64) {
+	intercept, slope = stat.LinearRegression(s.Sizes, s.Values, nil, false)
+	return intercept, slope, stat.RSquared(s.Sizes, s.Values, nil, intercept, slope)
 }
 
 func (s *Series) add(size int, value float64) {
@@ -42,15 +42,15 @@
 	fmt.Fprintln(t, "|---\t|---\t|---\t|---\t|---\t|---\t|---\t|---\t|")
 	for _, measure := range measures() {
 		for _, s := range measure() {
-			start, slope, explained := s.Fit()
+			intercept, slope, rSquared := s.Fit()
 			fmt.Fprintf(t, "| %s\t| %s\t| %s\t| %s\t| %s\t| %.3g\t| %.4g\t| %.3f\t|\n",
-				s.Name, s.Unit, s.Per, list(s.Sizes), list(s.Values), start, slope, explained)
+				s.Name, s.Unit, s.Per, formatValues(s.Sizes), formatValues(s.Values), intercept, slope, rSquared)
 		}
 	}
 	return t.Flush()
 }
 
-func list(values []float64) string {
+func formatValues(values []float64) string {
 	text := ""
 	for i, v := range values {
 		if i > 0 {
@@ -61,29 +61,29 @@
 	return text
 }
 
-// timeOf returns the time of one call, as the least of several rounds.
-func timeOf(rounds, calls int, run func()) time.Duration {
-	least := time.Duration(1 << 62)
+// minTime returns the time of one call, as the least of several rounds.
+func minTime(rounds, calls int, run func()) time.Duration {
+	shortest := time.Duration(1 << 62)
 	for range rounds {
 		start := time.Now()
 		for range calls {
 			run()
 		}
-		least = min(least, time.Since(start)/time.Duration(calls))
+		shortest = min(shortest, time.Since(start)/time.Duration(calls))
 	}
-	return least
+	return shortest
 }
 
-// heapOf returns the bytes that stay in use after build, while what it returns is kept.
-func heapOf(build func() any) float64 {
-	before := heap()
+// heapGrowth returns the bytes that stay in use after build, while what it returns is kept.
+func heapGrowth(build func() any) float64 {
+	before := heapInUse()
 	kept := build()
-	after := heap()
+	after := heapInUse()
 	runtime.KeepAlive(kept)
 	return float64(after) - float64(before)
 }
 
-func heap() uint64 {
+func heapInUse() uint64 {
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.GC()
--- a/standin/internal/trials/control_test.go
+++ b/standin/internal/trials/control_test.go
@@ -24,17 +24,17 @@
 
 // Controllers are killed at any moment while an operator applies one change after another. A change that
 // was accepted and is gone after the restart would have reverted under the operator's hands.
-func TestKilledControllersLoseNothing(t *testing.T) {
+func TestKilledControllersKeepAcceptedChanges(t *testing.T) {
 	is := is.New(t)
 	s := start(t, 3, 1)
 	random := rand.New(rand.NewPCG(1, 11))
 	number := status(s).GetNumber()
 	for range killRounds() {
-		victim := random.IntN(3)
+		killed := random.IntN(3)
 		var group sync.WaitGroup
 		group.Go(func() {
 			time.Sleep(time.Duration(random.IntN(100)) * time.Millisecond)
-			s.Controllers[victim].Kill()
+			s.Controllers[killed].Kill()
 		})
 		for range 10 {
 			number++
@@ -42,7 +42,7 @@
 			is.True(v.GetAccepted()) // the only operator's change is accepted, whoever is killed
 		}
 		group.Wait()
-		_, err := s.StartController(victim)
+		_, err := s.StartController(killed)
 		is.NoErr(err)
 		awaitVoters(t, s, 3)
 		is.Equal(status(s).GetNumber(), number)
@@ -55,7 +55,7 @@
 
 // A controller's disk is replaced by an empty one, and right after the repair a second instance is lost
 // for good. What was accepted before must still be there, and new changes must go through.
-func TestWipedDiskThenSecondLoss(t *testing.T) {
+func TestWipedDiskThenSecondLostController(t *testing.T) {
 	is := is.New(t)
 	s := start(t, 3, 1)
 	number := status(s).GetNumber()
@@ -80,7 +80,7 @@
 
 // Two operators send changes with the same number at the same time. Exactly one may win, and the other
 // must be told which change did. Whoever resends after a lost answer gets the first answer again.
-func TestOperatorsRace(t *testing.T) {
+func TestConcurrentChangesWithOneNumberHaveOneWinner(t *testing.T) {
 	s := start(t, 3, 1)
 	for round := range 5 {
 		t.Run(fmt.Sprint(round), func(t *testing.T) {
@@ -110,7 +110,7 @@
 
 // A controller and an entry instance are down while 500 changes pass them by. Both must come back with the
 // newest catalogue, and must never act on one in between.
-func TestHundredsOfChangesMissed(t *testing.T) {
+func TestRestartAfterMissedChanges(t *testing.T) {
 	is := is.New(t)
 	s := start(t, 3, 2)
 	follower := (leader(t, s) + 1) % 3
@@ -121,7 +121,7 @@
 		number++
 		is.True(apply(s, &wire.Change{Id: newID(t), Number: number, Catalogue: numbered(t, number)}).GetAccepted())
 	}
-	began := time.Now()
+	started := time.Now()
 	_, err := s.StartController(follower)
 	is.NoErr(err)
 	_, err = s.StartEntry(1)
@@ -136,7 +136,7 @@
 		}
 		return confirmed == 2
 	})
-	t.Logf("caught up 500 changes behind in %s", time.Since(began).Round(time.Millisecond))
+	t.Logf("caught up 500 changes behind in %s", time.Since(started).Round(time.Millisecond))
 }
 
 // The leading controller freezes, and others elect a new one. When it goes on it still believes to lead;
--- a/standin/internal/trials/limits_test.go
+++ b/standin/internal/trials/limits_test.go
@@ -15,13 +15,13 @@
 )
 
 // flood sends to all entry instances for a while, and returns how long that took.
-func flood(s *starter.System, long time.Duration) time.Duration {
-	began := time.Now()
+func flood(s *starter.System, duration time.Duration) time.Duration {
+	started := time.Now()
 	var group sync.WaitGroup
 	for i := range 4 * len(s.Entries) {
 		group.Go(func() {
 			c := &loader.Caller{Service: "listings"}
-			for time.Since(began) < long {
+			for time.Since(started) < duration {
 				ctx, cancel := context.WithTimeout(context.Background(), patience)
 				c.SendTo(ctx, s.CallerURL(i%len(s.Entries)), loader.Request{Method: http.MethodGet, Path: "/events"})
 				cancel()
@@ -29,15 +29,15 @@
 		})
 	}
 	group.Wait()
-	return time.Since(began)
+	return time.Since(started)
 }
 
 // served adds up what targets of some indexes answered.
-func served(s *starter.System, of func(i int) bool) int64 {
+func served(s *starter.System, include func(i int) bool) int64 {
 	var sum int64
 	for _, r := range stats(s) {
 		for i, b := range s.Targets {
-			if b.Name == r.Name && of(i) {
+			if b.Name == r.Name && include(i) {
 				sum += r.Served
 			}
 		}
@@ -45,9 +45,9 @@
 	return sum
 }
 
-// most is how many requests a cap allows over a stretch of time, counted by sliding seconds.
-func most(perSecond int64, long time.Duration) int64 {
-	return perSecond * (int64(long/time.Second) + 2)
+// maxAllowed is how many requests a cap allows over a stretch of time, counted by sliding seconds.
+func maxAllowed(perSecond int64, duration time.Duration) int64 {
+	return perSecond * (int64(duration/time.Second) + 2)
 }
 
 // Callers send far more than a region's cap through two entry instances, while the leader is killed. Were
@@ -56,7 +56,7 @@
 	is := is.New(t)
 	const limit = 64
 	s := start(t, 3, 2)
-	backends(t, s, "listings", 1, time.Millisecond) // in almaty alone
+	startTargets(t, s, "listings", 1, time.Millisecond) // in almaty alone
 	text := strings.Replace(catalogue(t), "cap = 4000\nfloor = 20", "cap = 64\nfloor = 4", 1)
 	is.NoErr(s.Apply(text))
 	time.Sleep(time.Second) // until the window before the change has passed
@@ -69,7 +69,7 @@
 	took := flood(s, 6*time.Second)
 	group.Wait()
 	got := served(s, func(int) bool { return true }) - before
-	is.True(got <= most(limit, took))
+	is.True(got <= maxAllowed(limit, took))
 	is.True(got > limit) // and the cap is used
 }
 
@@ -79,7 +79,7 @@
 	is := is.New(t)
 	const limit = 32
 	s := start(t, 3, 1)
-	backends(t, s, "listings", 2, time.Millisecond) // one in almaty, one in astana
+	startTargets(t, s, "listings", 2, time.Millisecond) // one in almaty, one in astana
 	astana := func(i int) bool { return i == 1 }
 	text := strings.Replace(catalogue(t), "[entry venue]", `[shift move]
 service = listings
@@ -94,6 +94,6 @@
 	before := served(s, astana)
 	took := flood(s, 4*time.Second)
 	got := served(s, astana) - before
-	is.True(got <= most(limit, took))
+	is.True(got <= maxAllowed(limit, took))
 	is.True(got > limit) // and the move goes on
 }
--- a/standin/internal/trials/linear_test.go
+++ b/standin/internal/trials/linear_test.go
@@ -76,14 +76,14 @@
 	is := is.New(t)
 	s := start(t, 3, 1)
 	first := status(s).GetNumber()
-	began := time.Now()
+	started := time.Now()
 	var mu sync.Mutex
 	var history []porcupine.Operation
 	record := func(client int, in catalogueInput, call time.Time, out catalogueOutput) {
 		mu.Lock()
 		defer mu.Unlock()
 		history = append(history, porcupine.Operation{
-			ClientId: client, Input: in, Call: int64(call.Sub(began)), Output: out, Return: int64(time.Since(began)),
+			ClientId: client, Input: in, Call: int64(call.Sub(started)), Output: out, Return: int64(time.Since(started)),
 		})
 	}
 	var group sync.WaitGroup
--- a/standin/internal/trials/organisations_test.go
+++ b/standin/internal/trials/organisations_test.go
@@ -25,16 +25,16 @@
 	quotaWindow = 5 * time.Second
 )
 
-func (f *fleet) organise(t *testing.T, version int, list ...speaker.Organisation) {
+func (f *fleet) putOrganisations(t *testing.T, version int, list ...speaker.Organisation) {
 	t.Helper()
 	plan, err := speaker.KeyedPlan(version, version-1, service, list...)
 	is.New(t).NoErr(err)
 	until(t, "organisations are in force", func() bool { return f.operator.Put(context.Background(), plan) == http.StatusOK })
 }
 
-// press sends requests with a key from several callers until stopped, and returns all answers.
-func (f *fleet) press(callers int, secret string) (stop func() []speaker.Answer) {
-	return f.loadBy(callers, func(c *speaker.Client) { c.Secret = secret })
+// loadWithKey sends requests with a key from several callers until stopped, and returns all answers.
+func (f *fleet) loadWithKey(callers int, secret string) (stop func() []speaker.Answer) {
+	return f.loadWith(callers, func(c *speaker.Client) { c.Secret = secret })
 }
 
 func (f *fleet) starts() []speaker.Start {
@@ -46,8 +46,8 @@
 	return out
 }
 
-// fullest is the most runs of an organisation in any window.
-func fullest(starts []speaker.Start, organisation string) int {
+// maxRunsInWindow is the most runs of an organisation in any window.
+func maxRunsInWindow(starts []speaker.Start, organisation string) int {
 	var at []time.Time
 	most, first := 0, 0
 	for _, s := range starts {
@@ -70,13 +70,13 @@
 	f := startFleet(t, 3, 3, 6)
 	acme := speaker.Organisation{Name: "acme", Keys: []string{acmeKey}, Rate: quotaRate, Burst: quotaBurst}
 	other := speaker.Organisation{Name: "other", Keys: []string{otherKey}}
-	f.organise(t, 2, acme, other)
+	f.putOrganisations(t, 2, acme, other)
 	keyless := f.client(0)
 	until(t, "requests need a key", func() bool {
 		return keyless.Send(context.Background(), http.MethodGet, "/safe/1", "k", "").Status == http.StatusUnauthorized
 	})
-	begun := time.Now()
-	stop, stopOther := f.press(6, acmeKey), f.press(2, otherKey)
+	started := time.Now()
+	stop, stopOther := f.loadWithKey(6, acmeKey), f.loadWithKey(2, otherKey)
 	time.Sleep(6 * time.Second)
 	for i := range 2 {
 		f.Controllers[i].Kill()
@@ -89,9 +89,9 @@
 	time.Sleep(6 * time.Second)
 	stop()
 	stopOther()
-	lasted := time.Since(begun)
+	lasted := time.Since(started)
 	starts := f.starts()
-	most := fullest(starts, "acme")
+	most := maxRunsInWindow(starts, "acme")
 	t.Logf("%d runs of acme in %v, %d in the fullest window", len(starts), lasted, most)
 	is.True(most <= quotaRate*int(quotaWindow.Seconds())+quotaBurst)
 	is.True(most > quotaRate*int(quotaWindow.Seconds())*8/10)
@@ -102,7 +102,7 @@
 	t.Run("a key is taken away", func(t *testing.T) {
 		is := is.New(t)
 		acme.Keys = nil
-		f.organise(t, 3, acme, other)
+		f.putOrganisations(t, 3, acme, other)
 		time.Sleep(2500 * time.Millisecond)
 		before := fmt.Sprint(len(f.starts()))
 		client := f.client(0)
--- a/standin/internal/trials/platform_test.go
+++ b/standin/internal/trials/platform_test.go
@@ -60,11 +60,11 @@
 
 // load sends requests from several callers until stopped, and returns all answers.
 func (f *fleet) load(callers int) (stop func() []speaker.Answer) {
-	return f.loadBy(callers, func(*speaker.Client) {})
+	return f.loadWith(callers, func(*speaker.Client) {})
 }
 
-// loadBy does the same with callers that are prepared first.
-func (f *fleet) loadBy(callers int, prepare func(c *speaker.Client)) (stop func() []speaker.Answer) {
+// loadWith does the same with callers that are prepared first.
+func (f *fleet) loadWith(callers int, prepare func(c *speaker.Client)) (stop func() []speaker.Answer) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var mu sync.Mutex
 	var all []speaker.Answer
@@ -125,7 +125,7 @@
 }
 
 // A calm day with all the planned work that a day may bring: nobody notices any of it.
-func TestPlannedWorkOnThePlatform(t *testing.T) {
+func TestPlannedOperationsOnThePlatform(t *testing.T) {
 	f := startFleet(t, 5, 3, 6)
 	ctx := context.Background()
 	t.Run("changes", func(t *testing.T) {
--- a/standin/internal/trials/soak_test.go
+++ b/standin/internal/trials/soak_test.go
@@ -25,7 +25,7 @@
 			absolute, err := filepath.Abs(programs)
 			is.NoErr(err)
 			s := &soaker.Soak{
-				Seed: seed, Length: 6 * time.Second, Programs: absolute, Folder: t.TempDir(), Net: byte(firstNet + nets.Add(1)),
+				Seed: seed, Length: 6 * time.Second, Programs: absolute, Folder: t.TempDir(), Net: byte(firstNet + usedNets.Add(1)),
 				Print: func(line string) { t.Log(line) },
 			}
 			broken, err := s.Run(context.Background())
--- a/standin/internal/trials/system_test.go
+++ b/standin/internal/trials/system_test.go
@@ -29,8 +29,8 @@
 	firstNet = 80
 )
 
-// nets gives every system of a run its own addresses.
-var nets atomic.Int32
+// usedNets gives every system of a run its own addresses.
+var usedNets atomic.Int32
 
 func catalogue(t *testing.T) string {
 	t.Helper()
@@ -48,7 +48,7 @@
 	s := &starter.System{
 		Programs:       absolute,
 		Folder:         t.TempDir(),
-		Net:            byte(firstNet + nets.Add(1)),
+		Net:            byte(firstNet + usedNets.Add(1)),
 		AnswerLifetime: time.Second,
 		Places: []starter.Place{
 			{Region: "almaty", Zone: "almaty-a"},
@@ -181,7 +181,7 @@
 	return append([]byte(catalogue(t)), []byte("; change "+time.Unix(int64(n), 0).String()+"\n")...)
 }
 
-func backends(t *testing.T, s *starter.System, service string, count int, work time.Duration) {
+func startTargets(t *testing.T, s *starter.System, service string, count int, work time.Duration) {
 	t.Helper()
 	is := is.New(t)
 	for range count {
--- a/standin/internal/trials/traffic_test.go
+++ b/standin/internal/trials/traffic_test.go
@@ -18,7 +18,7 @@
 // again when it is done. The seat must be taken once, and the repeat must get the first answer.
 func TestRepeatedBookingRunsOnce(t *testing.T) {
 	s := start(t, 3, 2)
-	backends(t, s, "bookings", 2, time.Millisecond)
+	startTargets(t, s, "bookings", 2, time.Millisecond)
 	t.Run("while it runs", func(t *testing.T) {
 		is := is.New(t)
 		key := newID(t)
@@ -82,7 +82,7 @@
 func TestPoisonRequestCostsTwoTargetsAtMost(t *testing.T) {
 	is := is.New(t)
 	s := start(t, 3, 2)
-	backends(t, s, "listings", 5, time.Millisecond)
+	startTargets(t, s, "listings", 5, time.Millisecond)
 	refused := 0
 	for i := range 10 {
 		a := get(s, "listings", i%2, "/crash")
@@ -92,48 +92,48 @@
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	dead := 0
+	crashed := 0
 	for _, b := range s.Targets {
 		if b.Ended() {
-			dead++
+			crashed++
 		}
 	}
-	is.True(dead <= 2)
+	is.True(crashed <= 2)
 	is.True(refused >= 8)
 	is.Equal(get(s, "listings", 0, "/events").Status, http.StatusOK) // bystanders go on
 }
 
 // A target breaks off in the middle of its answer. The caller must see a broken transfer; a short
 // answer that looks whole would show half a programme as all of it.
-func TestHalfAnAnswerIsSeenAsBroken(t *testing.T) {
+func TestTruncatedAnswerIsReceivedAsError(t *testing.T) {
 	is := is.New(t)
 	s := start(t, 1, 1)
-	backends(t, s, "listings", 1, time.Millisecond)
+	startTargets(t, s, "listings", 1, time.Millisecond)
 	a := get(s, "listings", 0, "/half")
 	is.True(a.Err != nil)
 }
 
 // slowBody sends a little at a time, and tells how much it sent.
 type slowBody struct {
-	left  int
-	pause time.Duration
+	remaining int
+	pause     time.Duration
 }
 
 func (b *slowBody) Read(p []byte) (int, error) {
-	if b.left == 0 {
+	if b.remaining == 0 {
 		return 0, io.EOF
 	}
 	time.Sleep(b.pause)
-	b.left--
+	b.remaining--
 	return copy(p, strings.Repeat("x", 1024)), nil
 }
 
 // An entry instance is told to stop while an organiser's slow upload is on its way. The upload must
 // finish, new work must be refused as not run, and look-ups must stop naming the instance.
-func TestPlannedStopCutsNothing(t *testing.T) {
+func TestPlannedStopFinishesRequestsInFlight(t *testing.T) {
 	is := is.New(t)
 	s := start(t, 3, 2)
-	backends(t, s, "listings", 2, time.Millisecond)
+	startTargets(t, s, "listings", 2, time.Millisecond)
 	const parts = 80
 	var upload loader.Answer
 	var group sync.WaitGroup
@@ -163,7 +163,7 @@
 func TestLeavingTargetGetsNoNewWork(t *testing.T) {
 	is := is.New(t)
 	s := start(t, 3, 2)
-	backends(t, s, "listings", 3, time.Millisecond)
+	startTargets(t, s, "listings", 3, time.Millisecond)
 	var group sync.WaitGroup
 	failed := make(chan loader.Answer, 1000)
 	stop := make(chan struct{})
@@ -193,9 +193,9 @@
 
 // All controllers freeze. An entry instance can't know whether its catalogue was changed meanwhile, so it
 // stops acting on it within its lease, says that nothing was run, and goes on when they are back.
-func TestCutOffEntryRefuses(t *testing.T) {
+func TestEntryWithoutControllersRefuses(t *testing.T) {
 	s := start(t, 3, 1)
-	backends(t, s, "listings", 1, time.Millisecond)
+	startTargets(t, s, "listings", 1, time.Millisecond)
 	for _, c := range s.Controllers {
 		c.Freeze()
 	}
@@ -214,7 +214,7 @@
 func TestRegionLost(t *testing.T) {
 	is := is.New(t)
 	s := start(t, 3, 3)
-	backends(t, s, "listings", 6, time.Millisecond)
+	startTargets(t, s, "listings", 6, time.Millisecond)
 	s.Controllers[0].Kill()
 	s.Entries[0].Kill()
 	s.Targets[0].Kill()
@@ -223,31 +223,31 @@
 	until(t, "callers are answered", func() bool {
 		return c.Send(context.Background(), loader.Request{Method: http.MethodGet, Path: "/events"}).Status == http.StatusOK
 	})
-	good := 0
+	answered := 0
 	for range 50 {
 		a := c.Send(context.Background(), loader.Request{Method: http.MethodGet, Path: "/events"})
 		if a.Status == http.StatusOK {
-			good++
+			answered++
 		}
 	}
-	is.Equal(good, 50)
+	is.Equal(answered, 50)
 }
 
 // Connections between an entry instance and a target go silent for good while new ones work. Callers
 // must be answered over new connections, well before their own deadline.
-func TestSilentConnectionsAreLeft(t *testing.T) {
+func TestUnresponsiveConnectionsAreReplaced(t *testing.T) {
 	is := is.New(t)
 	s := start(t, 1, 1)
-	backends(t, s, "listings", 1, time.Millisecond)
+	startTargets(t, s, "listings", 1, time.Millisecond)
 	r := newRelay(t, s)
 	is.NoErr(s.Targets[0].Stop(patience))
 	until(t, "the entry instance uses the relay", func() bool {
 		return get(s, "listings", 0, "/events").Status == http.StatusOK && r.Count() > 0
 	})
 	r.DropAll()
-	began := time.Now()
+	started := time.Now()
 	a := get(s, "listings", 0, "/events")
 	is.Equal(a.Status, http.StatusOK)
-	is.True(time.Since(began) < 5*time.Second) // the entry's timeout is 10 s
+	is.True(time.Since(started) < 5*time.Second) // the entry's timeout is 10 s
 	is.Equal(get(s, "listings", 0, "/events").Status, http.StatusOK)
 }
