--- a/standin/internal/backend/announcer.go
+++ b/standin/internal/backend/announcer.go
@@ -16,7 +16,7 @@
 	announceTimeout  = 500 * time.Millisecond
 )
 
-// Announcer tells entry instances about a backend. Set the exported fields before Run.
+// Announcer announces a target to entry instances. Set the exported fields before Run.
 type Announcer struct {
 	Target  *Target
 	Entries []netip.AddrPort
@@ -25,14 +25,14 @@
 	Zone    string
 	Address netip.AddrPort
 
-	// mu orders the announcements: a later sequence must not carry an earlier state.
+	// mu serialises announcements, so that a higher sequence number never carries an older state.
 	mu          sync.Mutex
 	incarnation uint64
 	sequence    uint64
 	next        int
 }
 
-// Run announces until ctx ends.
+// Run announces the target as ready once a second until ctx is done.
 func (a *Announcer) Run(ctx context.Context) {
 	a.incarnation = uint64(time.Now().UnixNano())
 	for {
@@ -45,7 +45,8 @@
 	}
 }
 
-// Announce sends one announcement to the first entry instance that takes it.
+// Announce sends an announcement to the entry instances in turn until one accepts it, starting with the one that
+// accepted the last. It reports whether an entry instance accepted it.
 func (a *Announcer) Announce(state string) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/standin/internal/backend/backend.go
+++ b/standin/internal/backend/backend.go
@@ -1,5 +1,5 @@
-// Package backend is a small target: it works for a set time in a set number of slots, and misbehaves
-// where a path asks for it.
+// Package backend is a small target for tests. Requests occupy one of a limited number of slots for a configured time;
+// the paths /crash and /half cause failures.
 package backend
 
 import (
@@ -20,11 +20,12 @@
 	truncatedSize = 1 << 20
 )
 
-// Target serves requests. Set the exported fields before use.
+// Target is an http.Handler that serves requests. Set the exported fields before use.
 type Target struct {
-	Name  string
+	Name string
+	// Slots is the maximum number of concurrent requests; more are answered with 503.
 	Slots int32
-	// Work is how long a request takes unless its query says otherwise.
+	// Work is how long a request takes unless its query parameter work contains another duration.
 	Work time.Duration
 
 	running atomic.Int32
@@ -32,10 +33,11 @@
 	served  atomic.Int64
 	shed    atomic.Int64
 	mu      sync.Mutex
-	runs    map[string]int
+	// runs counts the requests by idempotency key.
+	runs map[string]int
 }
 
-// Report is what GET /stats answers.
+// Report is the answer to GET /stats.
 type Report struct {
 	Name   string         `json:"name"`
 	Served int64          `json:"served"`
@@ -44,7 +46,7 @@
 	Runs   map[string]int `json:"runs"`
 }
 
-// Load returns how many requests run.
+// Load returns the number of running requests.
 func (b *Target) Load() int32 { return b.running.Load() }
 
 // ServeHTTP implements http.Handler.
@@ -100,7 +102,7 @@
 	})
 }
 
-// Reply is the answer to ordinary requests.
+// Reply is the answer to requests that are served.
 type Reply struct {
 	Target   string `json:"target"`
 	Path     string `json:"path"`
@@ -128,7 +130,7 @@
 	b.runs[key]++
 }
 
-// serveTruncated promises a long answer and breaks off in the middle of it.
+// serveTruncated announces a body of truncatedSize bytes and closes the connection after half of it.
 func (b *Target) serveTruncated(w http.ResponseWriter) {
 	w.Header().Set("Content-Length", strconv.Itoa(truncatedSize))
 	_, _ = w.Write(make([]byte, truncatedSize/2))
--- a/standin/internal/loader/caller.go
+++ b/standin/internal/loader/caller.go
@@ -1,5 +1,5 @@
-// Package loader plays callers: it looks an entry instance up, keeps the answer until its deadline, and
-// sends requests there.
+// Package loader simulates callers: a caller looks up entry instances, keeps the answer until its deadline, and sends
+// requests to these instances.
 package loader
 
 import (
@@ -18,9 +18,9 @@
 	idleConnsPerHost = 512
 )
 
-// Caller is one client of a service. Set the exported fields before use; it is safe for concurrent use.
+// Caller is a caller of one service. Set the exported fields before use. It is safe for concurrent use.
 type Caller struct {
-	// LookupURLs are the base addresses that a caller knows beforehand.
+	// LookupURLs are the base URLs at which entry instances can always be looked up.
 	LookupURLs []string
 	Service    string
 	Client     netip.Addr
@@ -32,7 +32,7 @@
 	entries  []string
 }
 
-// Request is one request to send.
+// Request is a request to send. Key is its idempotency key; empty fields send no header.
 type Request struct {
 	Method       string
 	Path         string
@@ -41,7 +41,8 @@
 	Body         io.Reader
 }
 
-// Answer is what came back.
+// Answer is the result of a request. Entry is the base URL of the entry instance, Outcome and RetryAfter are the
+// headers Chervilrail-Outcome and Retry-After.
 type Answer struct {
 	Entry      string
 	Status     int
@@ -65,7 +66,8 @@
 	return c.client
 }
 
-// Entries returns the addresses to use, from the last answer while it holds.
+// Entries returns the base URLs of the entry instances to use. It looks them up again when the last answer has expired:
+// at the entry instances of that answer, then at LookupURLs. If all look-ups fail it returns the last error.
 func (c *Caller) Entries(ctx context.Context) ([]string, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -113,8 +115,8 @@
 	return out, json.NewDecoder(response.Body).Decode(out)
 }
 
-// Send sends a request to the first named entry instance that takes the connection. A request whose bytes
-// may have gone out is not sent elsewhere, unless it may repeat.
+// Send sends a request to the looked-up entry instances in turn until one answers. After an error other than a refused
+// connection the request may have been received, so only a GET request is sent to the next instance.
 func (c *Caller) Send(ctx context.Context, request Request) Answer {
 	entries, err := c.Entries(ctx)
 	if err != nil {
@@ -137,7 +139,7 @@
 	return err != nil && strings.Contains(err.Error(), "connection refused")
 }
 
-// SendTo sends a request to one entry instance.
+// SendTo sends a request to the entry instance with a base URL.
 func (c *Caller) SendTo(ctx context.Context, base string, request Request) Answer {
 	r, err := http.NewRequestWithContext(ctx, request.Method, base+request.Path, request.Body)
 	if err != nil {
@@ -166,10 +168,10 @@
 	}
 }
 
-// StatusError is an answer other than 200 to a look-up.
+// StatusError reports a look-up that was answered with a status other than 200.
 type StatusError struct {
 	Status int
 }
 
 // Error implements error.
-func (e *StatusError) Error() string { return "look-up: " + http.StatusText(e.Status) }
+func (e *StatusError) Error() string { return "look-up failed: " + http.StatusText(e.Status) }
--- a/standin/internal/relayer/relayer.go
+++ b/standin/internal/relayer/relayer.go
@@ -1,4 +1,5 @@
-// Package relayer passes loopback connections on and harms them: it delays, resets, silences or passes one way only.
+// Package relayer forwards loopback connections and injects network faults: delays, resets, and connections whose data
+// is dropped in one or both directions.
 package relayer
 
 import (
@@ -11,26 +12,26 @@
 
 const bufferSize = 32 << 10
 
-// Relay stands before one address. Set Target, then Start it.
+// Relay forwards connections to one address. Set Target, then call Start.
 type Relay struct {
-	// Target is the address that connections are passed on to.
+	// Target is the address to which connections are forwarded.
 	Target string
 
 	socket net.Listener
-	// delay is how long each piece is held, in nanoseconds.
+	// delay is how long each chunk of data is held before it is forwarded, in nanoseconds.
 	delay     atomic.Int64
 	mu        sync.Mutex
 	openLinks []*link
 }
 
-// link is one connection through the relay.
+// link is a connection through the relay: one connection on each side.
 type link struct {
 	caller, target net.Conn
-	// dropAnswers swallows what comes from the target, dropRequests what goes there.
+	// dropAnswers discards the data from the target, dropRequests the data to it.
 	dropAnswers, dropRequests atomic.Bool
 }
 
-// Start listens on a free port of a host and returns the address.
+// Start listens on a free port of host, forwards connections in the background, and returns the address.
 func (r *Relay) Start(host string) (string, error) {
 	socket, err := net.Listen("tcp", net.JoinHostPort(host, "0"))
 	if err != nil {
@@ -41,16 +42,16 @@
 	return socket.Addr().String(), nil
 }
 
-// Close ends the relay and its connections.
+// Close stops listening and resets the open connections.
 func (r *Relay) Close() {
 	_ = r.socket.Close()
 	r.Reset()
 }
 
-// Delay holds each piece for a while from now on; zero ends that.
+// Delay sets how long each chunk of data is held from now on; 0 ends the delay.
 func (r *Relay) Delay(d time.Duration) { r.delay.Store(int64(d)) }
 
-// Reset resets the open connections.
+// Reset closes the open connections with a TCP reset.
 func (r *Relay) Reset() {
 	for _, l := range r.links() {
 		for _, c := range []net.Conn{l.caller, l.target} {
@@ -62,7 +63,7 @@
 	}
 }
 
-// DropAll makes the open connections swallow everything: both ends still stand, new connections work.
+// DropAll discards all data on the open connections, which stay open on both sides. New connections work.
 func (r *Relay) DropAll() {
 	for _, l := range r.links() {
 		l.dropAnswers.Store(true)
@@ -70,14 +71,14 @@
 	}
 }
 
-// DropAnswers makes the open connections swallow the target's answers only.
+// DropAnswers discards the data from the target on the open connections. Data to the target still passes.
 func (r *Relay) DropAnswers() {
 	for _, l := range r.links() {
 		l.dropAnswers.Store(true)
 	}
 }
 
-// Count returns how many connections were opened so far and still stand.
+// Count returns the number of open connections.
 func (r *Relay) Count() int { return len(r.links()) }
 
 func (r *Relay) links() []*link {
@@ -106,7 +107,8 @@
 	}
 }
 
-// transfer copies one way until either end closes.
+// transfer copies data in one direction until either side closes. With discard set it drops the data and keeps the
+// connections open.
 func (r *Relay) transfer(l *link, to, from net.Conn, discard *atomic.Bool) {
 	defer r.remove(l)
 	buffer := make([]byte, bufferSize)
--- a/standin/internal/soaker/checker.go
+++ b/standin/internal/soaker/checker.go
@@ -13,28 +13,29 @@
 )
 
 const (
-	// maxViolations bounds what is reported of one run.
+	// maxViolations is the maximum number of violations reported for one run.
 	maxViolations = 20
-	// drainLimit is how long after its acknowledgement a leaving target may still get requests, and drainSlack what the
-	// machine that plays all of them may add.
+	// A leaving target may receive requests for drainLimit after the acknowledgement of its departure; drainSlack
+	// allows for delays because all processes run on one machine.
 	drainLimit = 2500 * time.Millisecond
 	drainSlack = 300 * time.Millisecond
 )
 
-// checker collects what is seen from outside and which promises that breaks.
+// checker collects the observations of callers, targets and the operator, and the guarantees that they violate.
 type checker struct {
 	mu         sync.Mutex
 	violations []string
-	// notRun are the attempts that were told that they have not run, with the status; once those that must not repeat.
+	// notRun contains the attempts answered with a status that means not run, by ID; nonRepeatable the attempts that
+	// must not run twice.
 	notRun        map[string]int
 	nonRepeatable map[string]bool
 	sent          int
 	whole         int
-	ackedVersion  int
+	acked         int
 	departures    []departure
 }
 
-// departure is a target whose leaving was acknowledged.
+// departure is a target whose departure was acknowledged. An exempt departure is not checked for late requests.
 type departure struct {
 	target  *speaker.Target
 	ackedAt time.Time
@@ -44,16 +45,16 @@
 func (w *checker) fail(format string, args ...any) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.failLocked(format, args...)
+	w.note(format, args...)
 }
 
-func (w *checker) failLocked(format string, args ...any) {
+func (w *checker) note(format string, args ...any) {
 	if len(w.violations) < maxViolations {
 		w.violations = append(w.violations, fmt.Sprintf(format, args...))
 	}
 }
 
-// checkAnswer checks one answer by itself.
+// checkAnswer checks an answer on its own and records it for checkEnd.
 func (w *checker) checkAnswer(a speaker.Answer, method, path string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -68,10 +69,10 @@
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
 		w.notRun[a.ID] = a.Status
 	case http.StatusNotFound, http.StatusBadRequest:
-		w.failLocked("%s was denied with %d", a.ID, a.Status)
+		w.note("%s was denied with %d", a.ID, a.Status)
 	case http.StatusOK:
 		if a.Err == nil && !a.Whole {
-			w.failLocked("%s got a success that no target signed", a.ID)
+			w.note("%s received status 200 without the signature of a target", a.ID)
 		}
 	}
 	if !a.Whole {
@@ -79,35 +80,35 @@
 	}
 	w.whole++
 	if !strings.Contains(a.Body, " "+method+" "+path+" ") {
-		w.failLocked("%s asked for %s %s and got %q", a.ID, method, path, a.Body)
+		w.note("%s requested %s %s and received %q", a.ID, method, path, a.Body)
 	}
 }
 
 func (w *checker) recordAccepted(version int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.ackedVersion = max(w.ackedVersion, version)
+	w.acked = max(w.acked, version)
 }
 
 func (w *checker) newestAccepted() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.ackedVersion
+	return w.acked
 }
 
-// failRefused notes a change that was failRefused though it builds on the newest and was the only one.
+// failRefused records a change that was refused although it builds on the newest version and was the only one.
 func (w *checker) failRefused(version, status int) {
 	w.fail("change %d was refused with %d", version, status)
 }
 
-// checkRead checks a plan that was checkRead after a version had been acknowledged.
-func (w *checker) checkRead(minVersion int, version string) {
+// checkRead checks a version that was read after floor had been acknowledged.
+func (w *checker) checkRead(floor int, version string) {
 	if version == "" {
-		return // a controller may say that it can't be sure
+		return // a controller may answer that it cannot confirm the version
 	}
 	n, err := strconv.Atoi(strings.TrimPrefix(version, "r"))
-	if err != nil || n < minVersion {
-		w.fail("read %q after %d was acknowledged", version, minVersion)
+	if err != nil || n < floor {
+		w.fail("read %q after %d was acknowledged", version, floor)
 	}
 }
 
@@ -117,7 +118,8 @@
 	w.departures = append(w.departures, departure{target: t, ackedAt: ackedAt})
 }
 
-// recordFreeze notes that an entry instance stands still: what it had in hand may reach targets that have just left.
+// recordFreeze exempts recent departures, because the requests in flight of a frozen entry instance may reach targets
+// late.
 func (w *checker) recordFreeze() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -128,7 +130,7 @@
 	}
 }
 
-// checkEnd checks what can be known only at the end.
+// checkEnd checks the guarantees that can only be checked after the run.
 func (s *Soak) checkEnd(ctx context.Context) {
 	w := &s.checker
 	runs := map[string]int{}
@@ -140,24 +142,24 @@
 	w.mu.Lock()
 	for id := range w.nonRepeatable {
 		if runs[id] > 1 {
-			w.failLocked("%s must not repeat and ran %d times", id, runs[id])
+			w.note("%s is not repeatable and ran %d times", id, runs[id])
 		}
 	}
 	for id, status := range w.notRun {
 		if runs[id] > 0 {
-			w.failLocked("%s was told %d, not run, and has run", id, status)
+			w.note("%s was answered with %d (not run) but has run", id, status)
 		}
 	}
 	for _, d := range w.departures {
 		late := d.target.Last().Sub(d.ackedAt)
 		if late > drainLimit+drainSlack && !d.exempt {
-			w.failLocked("%s got a request %s after its leaving was acknowledged", d.target.ID, late)
+			w.note("%s received a request %s after its departure was acknowledged", d.target.ID, late)
 		}
 	}
 	if w.whole < w.sent/2 {
-		w.failLocked("only %d of %d requests were served", w.whole, w.sent)
+		w.note("only %d of %d requests were served", w.whole, w.sent)
 	}
-	minVersion := w.ackedVersion
+	floor := w.acked
 	w.mu.Unlock()
 	deadline := time.Now().Add(recoveryTimeout)
 	operator := s.operator()
@@ -166,7 +168,7 @@
 		time.Sleep(10 * callerPause)
 	}
 	if version == "" {
-		w.fail("the plan can't be read %s after the last fault", recoveryTimeout)
+		w.fail("plan not readable within %s of the last fault", recoveryTimeout)
 	}
-	w.checkRead(minVersion, version)
+	w.checkRead(floor, version)
 }
--- a/standin/internal/soaker/faults.go
+++ b/standin/internal/soaker/faults.go
@@ -13,18 +13,19 @@
 )
 
 const (
-	// stopTimeout is how long a planned stop may take.
+	// stopTimeout is the maximum duration of a planned stop.
 	stopTimeout = 12 * time.Second
-	// restartDelay is how long a killed process is gone.
+	// restartDelay is the time between the kill and the restart of a process.
 	restartDelay = 300 * time.Millisecond
-	// linkDelayTime is how long a harmed link holds each piece.
+	// linkDelayTime is how long a delayed connection holds each chunk of data.
 	linkDelayTime = 120 * time.Millisecond
 )
 
-// relayedTarget is a target with the relay before it.
+// relayedTarget is a target whose connections go through a relay.
 type relayedTarget struct {
 	*speaker.Target
-	relay   *relayer.Relay
+	relay *relayer.Relay
+	// retired targets were killed or told to leave, and receive no more faults.
 	retired bool
 }
 
@@ -51,7 +52,8 @@
 	return append([]*relayedTarget{}, s.targets...)
 }
 
-// pickTarget picks one of the targets that are not gone; with gone it is marked so.
+// pickTarget returns a target that is not retired, chosen by index modulo their number. With retired set it marks the
+// target as retired.
 func (s *Soak) pickTarget(index int, retired bool) *relayedTarget {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -66,7 +68,7 @@
 	return t
 }
 
-// reserve reserves a process for one fault; false means that another one has it.
+// reserve reserves a process or zone for one fault. It returns false if another fault has reserved it.
 func (s *Soak) reserve(name string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -83,7 +85,7 @@
 	delete(s.reserved, name)
 }
 
-// runSchedule runs the schedule and waits until all its faults are over.
+// runSchedule starts the faults at their scheduled times and waits until all of them have ended.
 func (s *Soak) runSchedule(ctx context.Context) {
 	start := time.Now()
 	finished := make(chan struct{}, len(kinds)*int(s.Length/minGap))
@@ -137,19 +139,19 @@
 		s.checkStarted(name, s.system.StartPlatformEntry(i))
 	case entryStop:
 		if err := p.Stop(stopTimeout); err != nil {
-			s.checker.fail("%s did not stop as planned: %v", name, err)
+			s.checker.fail("planned stop of %s failed: %v", name, err)
 		}
 		s.checkStarted(name, s.system.StartPlatformEntry(i))
 	case entryFreeze:
 		s.freeze(p, f.duration)
 	default:
 		if err := syscall.Kill(p.PID(), syscall.SIGHUP); err != nil {
-			s.checker.fail("%s ended by itself: %v", name, err)
+			s.checker.fail("%s exited unexpectedly: %v", name, err)
 		}
 	}
 }
 
-// freeze lets an entry instance stand still. What it had in hand reaches targets late.
+// freeze suspends an entry instance for a duration. Its requests in flight reach targets late.
 func (s *Soak) freeze(p *starter.Process, duration time.Duration) {
 	s.checker.recordFreeze()
 	p.Freeze()
@@ -159,7 +161,7 @@
 
 func (s *Soak) checkStarted(name string, err error) {
 	if err != nil {
-		s.checker.fail("%s does not start: %v", name, err)
+		s.checker.fail("start of %s failed: %v", name, err)
 	}
 }
 
@@ -196,7 +198,7 @@
 	time.Sleep(restartDelay)
 }
 
-// injectTargetFault ends a target; another one takes its place.
+// injectTargetFault kills a target or makes it leave, and starts another one in its place.
 func (s *Soak) injectTargetFault(ctx context.Context, f fault) {
 	t := s.pickTarget(f.index, true)
 	s.checkStarted("target", s.startTarget())
--- a/standin/internal/soaker/schedule.go
+++ b/standin/internal/soaker/schedule.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// kind is a kind of fault.
+// kind is a kind of fault, named as it is printed.
 type kind string
 
-// The faults. Those of controllers leave a majority, but for the one that kills all.
+// The kinds of faults. Faults of controllers leave a majority of them, except for controllerKillAll.
 const (
 	entryKill         kind = "entry-kill"
 	entryStop         kind = "entry-stop"
@@ -33,18 +33,18 @@
 	targetKill, targetLeave, linkReset, linkSilence, linkMute, linkDelay, evacuation,
 }
 
-// controllerLosses are the faults that take a controller's vote or disk.
+// controllerLosses are the faults in which a controller loses its vote or its disk.
 var controllerLosses = []kind{controllerKill, controllerFreeze, controllerWipe, controllerKillAll}
 
 const (
-	// minGap and gapSpread space the faults; many last longer, so they overlap.
+	// The gap between two faults is minGap plus a random part of gapSpread. Many faults last longer, so they overlap.
 	minGap    = 100 * time.Millisecond
 	gapSpread = 900 * time.Millisecond
-	// minDuration and spanSpread are how long a fault lasts that has an end.
+	// A temporary fault lasts minDuration plus a random part of durationSpread.
 	minDuration    = 300 * time.Millisecond
 	durationSpread = 2500 * time.Millisecond
-	// minLossInterval is the least time between two losses: as long as a replacement
-	// takes to hold everything and get its seat.
+	// minLossInterval is the minimum time between two controller losses. A replacement needs this long to receive the
+	// whole state and become a voter.
 	minLossInterval = 8 * time.Second
 )
 
@@ -52,12 +52,12 @@
 type fault struct {
 	at   time.Duration
 	kind kind
-	// index picks the victim among those of its kind.
+	// index selects the process, target or zone, modulo their number.
 	index    int
 	duration time.Duration
 }
 
-// schedule draws the faults of a run from its seed.
+// schedule generates the faults of a run from its seed. The same seed and length give the same faults.
 func schedule(seed uint64, length time.Duration) []fault {
 	random := rand.New(rand.NewPCG(seed, 1))
 	var out []fault
--- a/standin/internal/soaker/soaker.go
+++ b/standin/internal/soaker/soaker.go
@@ -1,5 +1,5 @@
-// Package soaker runs the real programs on loopback, harms them from outside by a schedule drawn from a seed, and checks
-// what callers, targets and the operator see.
+// Package soaker runs the real programs on loopback addresses, injects faults from a schedule that is generated from a
+// seed, and checks what callers, targets and the operator observe.
 package soaker
 
 import (
@@ -21,23 +21,23 @@
 	callers     = 8
 	service     = "listings"
 	targetWork  = 15 * time.Millisecond
-	// callerPause is the time between two requests of a caller.
+	// callerPause is the minimum time between two requests of a caller.
 	callerPause = 10 * time.Millisecond
-	// recoveryTimeout is how long after the last fault everything has to work again.
+	// recoveryTimeout is the time after the last fault within which every caller must be served again.
 	recoveryTimeout = 15 * time.Second
 	startTimeout    = 20 * time.Second
 	folderMode      = 0o750
 )
 
-// Soak is one run. Set the exported fields, then Run it.
+// Soak is one run. Set the exported fields, then call Run.
 type Soak struct {
 	Seed     uint64
 	Length   time.Duration
 	Programs string
 	Folder   string
-	// Net picks the loopback addresses, so that runs do not meet.
+	// Net selects the loopback addresses, so that several runs can take place at the same time.
 	Net byte
-	// Print takes a line for each fault.
+	// Print receives one line for each fault.
 	Print func(line string)
 
 	system         *starter.PlatformSystem
@@ -46,18 +46,19 @@
 	targets        []*relayedTarget
 	startedTargets int
 	group          sync.WaitGroup
-	// reserved holds the processes that a fault has not yet given back.
+	// reserved contains the processes and zones that are reserved for a running fault.
 	reserved map[string]bool
 }
 
-// Counts returns how many requests were sent and how many got a target's whole answer.
+// Counts returns the number of requests sent, and how many of them received the complete answer of a target.
 func (s *Soak) Counts() (sent, whole int) {
 	s.checker.mu.Lock()
 	defer s.checker.mu.Unlock()
 	return s.checker.sent, s.checker.whole
 }
 
-// Run plays the schedule and returns the promises that were broken.
+// Run runs the schedule and returns the violated guarantees. It returns a *StartError if the system does not serve
+// requests before the first fault.
 func (s *Soak) Run(ctx context.Context) ([]string, error) {
 	if err := os.MkdirAll(s.Folder, folderMode); err != nil {
 		return nil, err
@@ -85,7 +86,7 @@
 	return s.checker.violations, nil
 }
 
-// startSystem starts everything and waits until it serves.
+// startSystem starts the processes and targets and waits until a plan is accepted and a request is served.
 func (s *Soak) startSystem(ctx context.Context) error {
 	if err := s.system.StartPlatformSystem(controllers, entries); err != nil {
 		return err
@@ -99,7 +100,7 @@
 	c := s.client(0)
 	for deadline := time.Now().Add(startTimeout); time.Now().Before(deadline); time.Sleep(callerPause) {
 		if operator.Put(ctx, speaker.Plan(1, 0, service)) == http.StatusOK && c.Send(ctx, http.MethodGet, "/safe/0", "k", "").Whole {
-			s.checker.ackedVersion = 1
+			s.checker.acked = 1
 			return nil
 		}
 	}
@@ -117,7 +118,7 @@
 	}
 }
 
-// sendRequests sends requests, every other one of a kind that must not repeat.
+// sendRequests sends requests until ctx is done. Every other request is not repeatable.
 func (s *Soak) sendRequests(ctx context.Context, i int) {
 	c := s.client(i + 1)
 	for n := 0; ctx.Err() == nil; n++ {
@@ -131,7 +132,8 @@
 	}
 }
 
-// changePlans changes the plan again and again, sends what got no clear answer once more, and reads back.
+// changePlans submits new versions of the plan until ctx is done. It resends a version until it is accepted or refused
+// with a 4xx status, then reads the plan back.
 func (s *Soak) changePlans(ctx context.Context) {
 	operator := s.operator()
 	for version := 2; ctx.Err() == nil; version++ {
@@ -151,20 +153,21 @@
 			}
 			time.Sleep(callerPause)
 		}
-		minVersion := s.checker.newestAccepted()
-		s.checker.checkRead(minVersion, operator.Version(ctx))
+		floor := s.checker.newestAccepted()
+		s.checker.checkRead(floor, operator.Version(ctx))
 		time.Sleep(10 * callerPause)
 	}
 }
 
-// awaitRecovery waits until every caller is served again.
+// awaitRecovery waits until new callers are served again, and records a violation if that takes longer than
+// recoveryTimeout.
 func (s *Soak) awaitRecovery(ctx context.Context) {
 	deadline := time.Now().Add(recoveryTimeout)
 	for i := range callers {
 		c := s.client(callers + 1 + i)
 		for !c.Send(ctx, http.MethodGet, "/safe/1", "k", "").Whole {
 			if time.Now().After(deadline) {
-				s.checker.fail("not served %s after the last fault: caller %d", recoveryTimeout, i)
+				s.checker.fail("caller not served within %s of the last fault: caller %d", recoveryTimeout, i)
 				return
 			}
 			time.Sleep(10 * callerPause)
@@ -172,8 +175,8 @@
 	}
 }
 
-// StartError says that the system did not serve before any fault.
+// StartError reports that the system did not serve requests before the first fault.
 type StartError struct{ Folder string }
 
 // Error implements error.
-func (e *StartError) Error() string { return "the system does not serve; its logs are in " + e.Folder }
+func (e *StartError) Error() string { return "system does not serve requests, logs are in " + e.Folder }
--- a/standin/internal/starter/routed.go
+++ b/standin/internal/starter/routed.go
@@ -6,22 +6,23 @@
 	"strings"
 )
 
-// Ports of processes that speak the users' platform's language.
+// Ports used with the protocol of the users' platform.
 const (
-	// PlatformPort takes the calls of operators, targets and clients at a controller.
+	// PlatformPort is where controllers accept the platform's calls from operators, targets and clients.
 	PlatformPort = 7002
 	readyPort    = 8004
 	seedCount    = 3
 )
 
-// PlatformSystem is a system whose controllers are founded by seeds and whose entry instances route by a plan.
+// PlatformSystem is a System with the protocol of the users' platform: its controller group is founded by seed
+// controllers, and its entry instances route requests according to a plan.
 type PlatformSystem struct {
 	*System
-	// Seeds are the seeds' addresses; set by StartRouted.
+	// Seeds are the platform addresses of the seed controllers, set by StartPlatformSystem.
 	Seeds []string
 }
 
-// StartPlatformSystem starts controllers and entry instances; the first controllers are the seeds.
+// StartPlatformSystem starts controllers and entry instances. The first controllers, three at most, are the seeds.
 func (s *PlatformSystem) StartPlatformSystem(controllers, entries int) error {
 	for i := range min(controllers, seedCount) {
 		s.Seeds = append(s.Seeds, fmt.Sprintf("%s:%d", s.address(controllerNet, i), PlatformPort))
@@ -39,7 +40,8 @@
 	return nil
 }
 
-// StartPlatformController starts or restarts controller i; first says that the whole system starts for the first time.
+// StartPlatformController starts or restarts controller i. Set initial only at the first start of the whole system: the
+// seeds then found a new controller group.
 func (s *PlatformSystem) StartPlatformController(i int, initial bool) error {
 	name := fmt.Sprintf("c%d", i+1)
 	address := s.address(controllerNet, i)
@@ -136,7 +138,7 @@
 	return append(list, p)
 }
 
-// PlatformURLs are the base URLs of all controllers for the platform's calls.
+// PlatformURLs returns the base URLs of all controllers for the platform's calls.
 func (s *PlatformSystem) PlatformURLs() []string {
 	var out []string
 	for i := range s.Controllers {
@@ -145,10 +147,10 @@
 	return out
 }
 
-// LogFile is where a process's lines go.
+// LogFile returns the path of a process's log file.
 func (s *PlatformSystem) LogFile(name string) string { return filepath.Join(s.Folder, name+".log") }
 
-// ReadyAddress answers whether entry instance i is ready.
+// ReadyAddress returns the address at which entry instance i reports whether it is ready.
 func (s *PlatformSystem) ReadyAddress(i int) string {
 	return fmt.Sprintf("%s:%d", s.address(entryNet, i), readyPort)
 }
--- a/standin/internal/starter/starter.go
+++ b/standin/internal/starter/starter.go
@@ -1,5 +1,5 @@
-// Package starter runs a small system of real processes on loopback addresses, for the demo, the
-// measurements and the tests of failures. It ends only what it started.
+// Package starter runs a small system of real processes on loopback addresses for the demo, the measurements, the soak
+// runs and the failure tests. It ends only processes that it has started.
 package starter
 
 import (
@@ -17,22 +17,25 @@
 	"time"
 )
 
-// Ports of every process; each process has an address of its own.
+// Ports of the processes. Every process has its own loopback address, so all processes of a kind use the same ports.
 const (
-	ControlPort      = 7000
-	OperatorPort     = 7001
-	CallerPort       = 8000
+	// ControlPort is used by controllers, for each other and for entry instances.
+	ControlPort  = 7000
+	OperatorPort = 7001
+	CallerPort   = 8000
+	// AnnouncementPort is where entry instances receive the announcements of targets.
 	AnnouncementPort = 8001
 	PeerPort         = 8002
 	MetricsPort      = 8003
-	ServicePort      = 9000
+	// ServicePort is where targets receive requests.
+	ServicePort = 9000
 
 	folderMode = 0o750
 	fileMode   = 0o640
 	stopTime   = 15 * time.Second
 )
 
-// Process is one process that was started.
+// Process is a started process.
 type Process struct {
 	Name    string
 	Address netip.Addr
@@ -42,31 +45,33 @@
 	err     error
 }
 
-// Kill ends the process at once.
+// Kill sends SIGKILL and waits until the process has ended.
 func (p *Process) Kill() {
 	_ = p.command.Process.Kill()
 	<-p.done
 }
 
-// PID returns the process's id.
+// PID returns the process ID.
 func (p *Process) PID() int { return p.command.Process.Pid }
 
-// Freeze stops the process without ending it.
+// Freeze suspends the process (SIGSTOP).
 func (p *Process) Freeze() { _ = p.command.Process.Signal(syscall.SIGSTOP) }
 
-// Thaw lets a frozen process go on.
+// Thaw resumes a frozen process (SIGCONT).
 func (p *Process) Thaw() { _ = p.command.Process.Signal(syscall.SIGCONT) }
 
-// Terminate asks the process to stop and returns at once.
+// Terminate sends SIGTERM and returns without waiting.
 func (p *Process) Terminate() { _ = p.command.Process.Signal(syscall.SIGTERM) }
 
-// Stop asks the process to stop, waits, and returns how it ended.
+// Stop sends SIGTERM and waits until the process has ended. It returns the process's exit error, or a *TimeoutError if
+// the process is still running after timeout.
 func (p *Process) Stop(timeout time.Duration) error {
 	p.Terminate()
 	return p.Wait(timeout)
 }
 
-// Wait waits until the process ended.
+// Wait waits until the process has ended. It returns the process's exit error, or a *TimeoutError if the process is
+// still running after timeout.
 func (p *Process) Wait(timeout time.Duration) error {
 	select {
 	case <-p.done:
@@ -86,19 +91,20 @@
 	}
 }
 
-// System is a set of processes. Set the exported fields, then call the start methods.
+// System is a set of controllers, entry instances and targets. Set Programs, Folder, Net and Places, then call the
+// start methods.
 type System struct {
-	// Programs is the folder with the built programs.
+	// Programs is the folder that contains the built programs.
 	Programs string
-	// Folder holds settings, logs and data.
+	// Folder receives settings, logs and data.
 	Folder string
-	// Net picks the addresses 127.Net.x.y, so that systems do not meet.
+	// Net selects the addresses 127.Net.x.y, so that several systems can run at the same time.
 	Net byte
-	// Region and Zone of process i of each kind.
+	// Places are assigned in turn to the processes of each kind: process i gets element i modulo the length.
 	Places []Place
-	// AnswerLifetime is how long callers may keep look-up answers.
+	// AnswerLifetime is how long callers may keep look-up answers; the minimum is one second.
 	AnswerLifetime time.Duration
-	// LogSample is passed on to the entry instances' log settings.
+	// LogSample is the entry instances' setting sample in section log; the minimum is 1.
 	LogSample int
 
 	Controllers []*Process
@@ -127,7 +133,7 @@
 	return netip.AddrFrom4([4]byte{127, s.Net, kind, byte(i + 1)})
 }
 
-// Start runs a program under a name and keeps its output in a log file.
+// Start starts a program and appends its output to the log file name.log in Folder.
 func (s *System) Start(name, program string, address netip.Addr, arguments ...string) (*Process, error) {
 	logs, err := os.OpenFile(filepath.Join(s.Folder, name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, fileMode)
 	if err != nil {
@@ -135,7 +141,7 @@
 	}
 	command := exec.Command(filepath.Join(s.Programs, program), arguments...)
 	command.Stdout, command.Stderr = logs, logs
-	// A test that is ended from outside must not leave processes behind.
+	// The kernel kills the process when its parent dies, so an interrupted test leaves no processes behind.
 	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := command.Start(); err != nil {
 		return nil, err
@@ -152,7 +158,7 @@
 	return p, nil
 }
 
-// Close ends everything that still runs.
+// Close kills all processes that are still running.
 func (s *System) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -180,7 +186,8 @@
 	return strings.Join(out, ", ")
 }
 
-// StartControllers founds a group on the first and starts all of them.
+// StartControllers creates a controller group on the first controller with the command "controller found", then starts
+// all controllers.
 func (s *System) StartControllers(count int) error {
 	for i := range count {
 		path, err := s.controllerSettings(i, count)
@@ -227,12 +234,12 @@
 `, name, place.Region, place.Zone, s.DataFolder(i), address, ControlPort, address, OperatorPort, s.replicas(count)))
 }
 
-// DataFolder is where controller i keeps its state.
+// DataFolder returns the folder in which controller i stores its state.
 func (s *System) DataFolder(i int) string {
 	return filepath.Join(s.Folder, fmt.Sprintf("c%d.data", i+1))
 }
 
-// StartController starts or restarts one controller.
+// StartController starts or restarts controller i with the settings written by StartControllers.
 func (s *System) StartController(i int) (*Process, error) {
 	name := fmt.Sprintf("c%d", i+1)
 	path := filepath.Join(s.Folder, name+".ini")
@@ -243,7 +250,7 @@
 	return p, err
 }
 
-// StartEntries starts entry instances that use the controllers.
+// StartEntries starts entry instances that connect to the started controllers.
 func (s *System) StartEntries(count int) error {
 	for i := range count {
 		p, err := s.StartEntry(i)
@@ -255,7 +262,7 @@
 	return nil
 }
 
-// StartEntry starts or restarts one entry instance.
+// StartEntry starts or restarts entry instance i.
 func (s *System) StartEntry(i int) (*Process, error) {
 	name := fmt.Sprintf("e%d", i+1)
 	address := s.address(entryNet, i)
@@ -295,14 +302,15 @@
 	return p, err
 }
 
-// TargetSettings describe one target to start.
+// TargetSettings describe a target to start: its service, its number of concurrent requests and the time that a request
+// takes.
 type TargetSettings struct {
 	Service string
 	Slots   int
 	Work    time.Duration
 }
 
-// StartTarget starts a target that announces itself to every entry instance.
+// StartTarget starts a target and passes it the addresses of all started entry instances for its announcements.
 func (s *System) StartTarget(b TargetSettings) (*Process, error) {
 	i := len(s.Targets)
 	p, err := s.startTarget(i, b)
@@ -312,7 +320,7 @@
 	return p, err
 }
 
-// RestartTarget starts target i again, as a new run of the same name.
+// RestartTarget starts target i again under the same name, with a new incarnation.
 func (s *System) RestartTarget(i int, b TargetSettings) error {
 	p, err := s.startTarget(i, b)
 	if err == nil {
@@ -335,7 +343,7 @@
 		"--work", b.Work.String(), "--entries", strings.Join(entries, ","))
 }
 
-// OperatorAddresses returns the operator addresses of all controllers.
+// OperatorAddresses returns the operator addresses of all controllers, separated by commas.
 func (s *System) OperatorAddresses() string {
 	var out []string
 	for _, c := range s.Controllers {
@@ -344,7 +352,7 @@
 	return strings.Join(out, ",")
 }
 
-// Railctl runs the operators' tool and returns its output and exit code.
+// Railctl runs railctl against the controllers. It returns its output and its exit code, -1 if it could not be run.
 func (s *System) Railctl(arguments ...string) (string, int) {
 	arguments = append([]string{"--controllers", s.OperatorAddresses()}, arguments...)
 	command := exec.Command(filepath.Join(s.Programs, "railctl"), arguments...)
@@ -359,7 +367,8 @@
 	return string(out), 0
 }
 
-// Apply puts a catalogue in force and waits until every entry instance has it.
+// Apply applies a catalogue and waits until it is in force on every entry instance. It returns a *ToolError if railctl
+// fails.
 func (s *System) Apply(catalogue string) error {
 	path, err := s.write("catalogue.ini", catalogue)
 	if err != nil {
@@ -372,7 +381,8 @@
 	return nil
 }
 
-// AwaitReady waits until a URL answers 200.
+// AwaitReady waits until a GET of url is answered with 200. It returns a *TimeoutError if that takes longer than
+// timeout.
 func AwaitReady(url string, timeout time.Duration) error {
 	deadline := time.Now().Add(timeout)
 	for time.Now().Before(deadline) {
@@ -389,29 +399,31 @@
 	return &TimeoutError{Awaited: url}
 }
 
-// CallerURL is the base address of entry instance i for callers.
+// CallerURL returns the base URL of entry instance i for callers.
 func (s *System) CallerURL(i int) string {
 	return fmt.Sprintf("http://%s:%d", s.address(entryNet, i), CallerPort)
 }
 
-// TargetURL is the address of target i.
+// TargetURL returns the base URL of target i.
 func (s *System) TargetURL(i int) string {
 	return fmt.Sprintf("http://%s:%d", s.address(targetNet, i), ServicePort)
 }
 
-// TimeoutError says that something did not happen in time.
+// TimeoutError reports that a process or condition did not reach the awaited state in time.
 type TimeoutError struct {
 	Awaited string
 }
 
 // Error implements error.
-func (e *TimeoutError) Error() string { return e.Awaited + " took too long" }
+func (e *TimeoutError) Error() string { return e.Awaited + ": timed out" }
 
-// ToolError is a failed call of the operators' tool.
+// ToolError reports a failed run of railctl.
 type ToolError struct {
 	Code   int
 	Output string
 }
 
 // Error implements error.
-func (e *ToolError) Error() string { return fmt.Sprintf("railctl ended with %d: %s", e.Code, e.Output) }
+func (e *ToolError) Error() string {
+	return fmt.Sprintf("railctl exited with code %d: %s", e.Code, e.Output)
+}
--- a/standin/internal/trials/organisations_test.go
+++ b/standin/internal/trials/organisations_test.go
@@ -63,8 +63,8 @@
 	return most
 }
 
-// Guards against quotas that are passed, or hardly used, while controllers and entry instances are killed under pressure, and
-// against keys in logs, at targets, or in use after they were taken away.
+// Guards against quotas that are passed, or hardly used, while controllers and entry instances are killed under
+// pressure, and against keys in logs, at targets, or in use after they were taken away.
 func TestOrganisationsOnThePlatform(t *testing.T) {
 	is := is.New(t)
 	f := startFleet(t, 3, 3, 6)
--- a/standin/internal/trials/soak_test.go
+++ b/standin/internal/trials/soak_test.go
@@ -15,9 +15,9 @@
 // soakSeeds are runs that every change has to pass: the first few, and each that ever broke a promise.
 var soakSeeds = []uint64{1, 2}
 
-// Processes are killed, frozen, stopped and restarted while targets die or leave, links are harmed and the plan changes,
-// as the seed has it. Callers get their own whole answers or true refusals, nothing runs twice that must not, and no
-// accepted change is lost.
+// Processes are killed, frozen, stopped and restarted while targets die or leave, links are harmed and the plan
+// changes, as the seed has it. Callers get their own whole answers or true refusals, nothing runs twice that must not,
+// and no accepted change is lost.
 func TestSoak(t *testing.T) {
 	for _, seed := range soakSeeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
