--- a/railctl/internal/cli/change.go
+++ b/railctl/internal/cli/change.go
@@ -51,7 +51,7 @@
 	}
 }
 
-// plan is the JSON form of a comparison.
+// plan is the JSON output of the commands plan and diff.
 type plan struct {
 	Number uint64            `json:"number"`
 	Edits  []cataloguer.Edit `json:"edits"`
@@ -120,7 +120,7 @@
 	return nil
 }
 
-// verdict is the JSON form of a decided change.
+// verdict is the JSON output for an accepted change.
 type verdict struct {
 	ID       string `json:"id"`
 	Number   uint64 `json:"number"`
@@ -142,7 +142,7 @@
 		}
 		change.Number = current.GetNumber() + 1
 	}
-	// The id is shown before the change is sent: if the answer is lost, the operator can send it again.
+	// The ID is printed before the change is sent, so that the operator can resend the change if the answer is lost.
 	fmt.Fprintf(os.Stderr, "change %s asks for number %d\n", change.GetId(), change.GetNumber())
 	v, err := s.Apply(s.ctx, change)
 	if err != nil {
@@ -233,7 +233,8 @@
 	return strings.TrimRight(text, "\n") + fmt.Sprintf("\n\n[%s]\n%s = %s\n", drainTitle(kind, name), kind, name), nil
 }
 
-// removeDrain cuts the drain's lines out, so that comments and order elsewhere stay as they are.
+// removeDrain removes the lines of the drain's section. It edits the text so that all other lines, their comments and
+// their order stay unchanged.
 func removeDrain(text, kind, name string) (string, error) {
 	var kept []string
 	inside, found := false, false
--- a/railctl/internal/cli/cli.go
+++ b/railctl/internal/cli/cli.go
@@ -1,4 +1,4 @@
-// Package cli is the operators' command line.
+// Package cli is the command line of railctl, the operators' tool.
 package cli
 
 import (
@@ -20,7 +20,7 @@
 	"chervilrail.example/railctl/internal/client"
 )
 
-// Exit codes for scripts.
+// Exit codes, for use in scripts.
 const (
 	exitFailure     = 1
 	exitInput       = 2
@@ -82,7 +82,7 @@
 	return exitFailure
 }
 
-// session is one call of the program: its client, its time and its output.
+// session contains the client, the context with the timeout, and the output of one run of the program.
 type session struct {
 	*client.Client
 	ctx    context.Context
@@ -124,7 +124,7 @@
 	return s, nil
 }
 
-// print writes a value as JSON, or its text form.
+// print writes value as JSON if JSON output is selected, otherwise text.
 func (s *session) print(value any, text string) error {
 	if s.json {
 		return json.NewEncoder(s.out).Encode(value)
--- a/railctl/internal/cli/errors.go
+++ b/railctl/internal/cli/errors.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// ConflictError says that another change got the number.
+// ConflictError reports that a change was refused. Winner is the ID of the change in force with Number.
 type ConflictError struct {
 	Number uint64
 	Winner string
@@ -17,7 +17,8 @@
 	return fmt.Sprintf("change refused (%s): number %d by change %s is in force", e.Reason, e.Number, e.Winner)
 }
 
-// NotInForceError names the entry instances that do not confirm a change.
+// NotInForceError lists the entry instances that have not confirmed a change in time. Instances is empty if a new
+// leader does not yet know the state of all instances.
 type NotInForceError struct {
 	Number    uint64
 	Instances []string
@@ -31,7 +32,7 @@
 	return fmt.Sprintf("number %d is not confirmed by %s", e.Number, strings.Join(e.Instances, ", "))
 }
 
-// InputError names an argument that can't be used.
+// InputError reports an invalid argument.
 type InputError struct {
 	Field    string
 	Expected string
--- a/railctl/internal/cli/status.go
+++ b/railctl/internal/cli/status.go
@@ -40,7 +40,8 @@
 	}
 }
 
-// watch waits until every instance either confirms the number or has lost its lease, and so refuses work.
+// watch waits until every entry instance has confirmed the number or lost its lease; without a lease it refuses
+// requests. It returns a *NotInForceError on timeout.
 func (s *session) watch(number uint64) error {
 	start := time.Now()
 	for {
--- a/railctl/internal/client/client.go
+++ b/railctl/internal/client/client.go
@@ -1,4 +1,4 @@
-// Package client calls the operators' service of whichever controller leads.
+// Package client calls the operator service of the controllers and finds the leading one.
 package client
 
 import (
@@ -22,7 +22,8 @@
 	retryPause  = 100 * time.Millisecond
 )
 
-// Client asks the controllers in turn. Set the exported fields, then call Open.
+// Client sends calls to the controllers in turn until one answers. Set the exported fields, then call Open. TokenFile
+// may be empty. It is not safe for concurrent use.
 type Client struct {
 	Controllers []netip.AddrPort
 	TokenFile   string
@@ -33,7 +34,7 @@
 	next    int
 }
 
-// Open makes the connections.
+// Open reads the token file and creates the clients. It returns a *TokenError if the file cannot be read.
 func (c *Client) Open() error {
 	if c.TokenFile != "" {
 		data, err := os.ReadFile(c.TokenFile)
@@ -54,7 +55,7 @@
 	return nil
 }
 
-// bearer adds the operator token to every call.
+// bearer is a RoundTripper that adds the operator token to every call.
 type bearer struct {
 	token string
 	next  http.RoundTripper
@@ -68,8 +69,8 @@
 	return b.next.RoundTrip(r)
 }
 
-// Apply sends a change until some controller decides it. The same change may be sent again at any time:
-// its id makes every controller give the first verdict.
+// Apply sends a change until a controller decides it, and returns the verdict. Sending is idempotent: a change that is
+// sent again with the same ID gets the verdict of the first time.
 func (c *Client) Apply(ctx context.Context, change *wire.Change) (*wire.Verdict, error) {
 	var verdict *wire.Verdict
 	err := c.retry(ctx, func(call context.Context, o wireconnect.OperateClient) error {
@@ -82,7 +83,7 @@
 	return verdict, err
 }
 
-// Get reads the catalogue in force.
+// Get returns the catalogue in force.
 func (c *Client) Get(ctx context.Context) (*wire.GetResponse, error) {
 	var out *wire.GetResponse
 	err := c.retry(ctx, func(call context.Context, o wireconnect.OperateClient) error {
@@ -95,7 +96,7 @@
 	return out, err
 }
 
-// Status reads the leader's overview.
+// Status returns the leader's status of the controllers, entry instances and limits.
 func (c *Client) Status(ctx context.Context) (*wire.StatusResponse, error) {
 	var out *wire.StatusResponse
 	err := c.retry(ctx, func(call context.Context, o wireconnect.OperateClient) error {
@@ -112,6 +113,8 @@
 	return out, err
 }
 
+// retry runs a call against the controllers in turn until it succeeds or returns a final error. It returns an
+// *UnreachableError with the last error when ctx is done.
 func (c *Client) retry(ctx context.Context, run func(context.Context, wireconnect.OperateClient) error) error {
 	for {
 		call, cancel := context.WithTimeout(ctx, callTimeout)
@@ -129,7 +132,7 @@
 	}
 }
 
-// isFinal reports answers that no other controller would give differently.
+// isFinal reports whether every controller would answer with the same error, so that a retry is pointless.
 func isFinal(err error) bool {
 	switch connect.CodeOf(err) {
 	case connect.CodeInvalidArgument, connect.CodeUnauthenticated:
--- a/railctl/internal/client/errors.go
+++ b/railctl/internal/client/errors.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// UnreachableError says that no leading controller answered in time.
+// UnreachableError reports that no leading controller answered in time; Cause is the last error.
 type UnreachableError struct {
 	Cause error
 }
@@ -12,16 +12,16 @@
 	return fmt.Sprintf("no leading controller answered: %v", e.Cause)
 }
 
-// Unwrap returns the last failure.
+// Unwrap returns the last error.
 func (e *UnreachableError) Unwrap() error { return e.Cause }
 
-// FollowerError says that a controller does not lead.
+// FollowerError reports that a controller is not the leader.
 type FollowerError struct{}
 
 // Error implements error.
 func (e *FollowerError) Error() string { return "this controller does not lead" }
 
-// TokenError says that the operator token could not be read.
+// TokenError reports that the file with the operator token could not be read.
 type TokenError struct {
 	Path  string
 	Cause error
--- a/standin/internal/cli/cli.go
+++ b/standin/internal/cli/cli.go
@@ -1,4 +1,4 @@
-// Package cli is the stand-ins' command line.
+// Package cli is the command line of standin.
 package cli
 
 import (
@@ -33,7 +33,7 @@
 func Run(args []string) int {
 	root := &cli.Command{
 		Name:  "standin",
-		Usage: "play targets and callers for tests",
+		Usage: "simulate targets and callers for tests",
 		Commands: []*cli.Command{
 			targetCommand(), demoCommand(), measureCommand(), slopesCommand(), experimentCommand(), soakCommand(),
 		},
@@ -48,7 +48,7 @@
 func targetCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "target",
-		Usage: "serve requests and announce it to entry instances",
+		Usage: "run a target that announces itself to entry instances",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "name", Required: true},
 			&cli.StringFlag{Name: "service", Required: true},
@@ -100,7 +100,8 @@
 	return leave(server, a)
 }
 
-// leave says so, lets what was sent meanwhile arrive, and finishes it.
+// leave announces that the target is leaving, keeps accepting requests for leaveDelay because some may still be on
+// their way, and shuts the server down when all requests are finished.
 func leave(server *http.Server, a *backend.Announcer) error {
 	a.Announce("leaving")
 	time.Sleep(leaveDelay)
@@ -120,7 +121,7 @@
 func measureCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "measure",
-		Usage: "start a local system and take its figures",
+		Usage: "start a local system and measure it",
 		Flags: pathFlags(),
 		Action: func(_ context.Context, c *cli.Command) error {
 			return measurer.Run(os.Stdout, measurer.Options{
@@ -135,7 +136,7 @@
 func experimentCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "experiment",
-		Usage:     "play scenarios against the decisions in logical time, and against a naive policy",
+		Usage:     "simulate scenarios in logical time with the decision packages and with a naive policy",
 		ArgsUsage: "FILE...",
 		Action: func(_ context.Context, c *cli.Command) error {
 			for _, path := range c.Args().Slice() {
@@ -153,16 +154,16 @@
 func slopesCommand() *cli.Command {
 	return &cli.Command{
 		Name:   "slopes",
-		Usage:  "measure how the cost of each part grows",
+		Usage:  "measure how the cost of each part grows with its size",
 		Action: func(context.Context, *cli.Command) error { return sloper.Run(os.Stdout) },
 	}
 }
 
 func demoCommand() *cli.Command {
-	failures := &cli.BoolFlag{Name: "failures", Usage: "freeze a controller and kill an entry instance meanwhile"}
+	failures := &cli.BoolFlag{Name: "failures", Usage: "freeze a controller and kill an entry instance while requests are sent"}
 	return &cli.Command{
 		Name:  "demo",
-		Usage: "start a local system, send each class of request, and show what happened",
+		Usage: "start a local system, send requests of each class, and print the results",
 		Flags: append(pathFlags(), failures),
 		Action: func(_ context.Context, c *cli.Command) error {
 			return demo.Run(os.Stdout, demo.Options{
--- a/standin/internal/cli/soak.go
+++ b/standin/internal/cli/soak.go
@@ -16,7 +16,7 @@
 
 const (
 	soakLength = time.Minute
-	// firstSoakNet is the first of the loopback networks that soaks use, one each.
+	// firstSoakNet is the first of the soakNets loopback networks for soak runs; the seed selects one.
 	firstSoakNet = 200
 	soakNets     = 50
 )
@@ -24,14 +24,14 @@
 func soakCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "soak",
-		Usage: "run the programs, harm them by a seed, and check what is seen from outside",
+		Usage: "run the programs, inject faults generated from a seed, and check the guarantees from outside",
 		Flags: []cli.Flag{
 			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "`SEED` of the first run"},
-			&cli.IntFlag{Name: "runs", Value: 1, Usage: "how many seeds in a row"},
-			&cli.DurationFlag{Name: "for", Value: soakLength, Usage: "how long faults go on"},
-			&cli.StringFlag{Name: "programs", Value: "bin", Usage: "`FOLDER` of the built programs"},
+			&cli.IntFlag{Name: "runs", Value: 1, Usage: "number of consecutive seeds to run"},
+			&cli.DurationFlag{Name: "for", Value: soakLength, Usage: "how long faults are injected"},
+			&cli.StringFlag{Name: "programs", Value: "bin", Usage: "`FOLDER` with the built programs"},
 			&cli.StringFlag{Name: "folder", Value: ".run/soak", Usage: "`FOLDER` for settings, data and logs"},
-			&cli.BoolFlag{Name: "quiet", Usage: "print no faults"},
+			&cli.BoolFlag{Name: "quiet", Usage: "do not print the faults"},
 		},
 		Action: soak,
 	}
@@ -51,7 +51,7 @@
 		}
 	}
 	if failedRuns > 0 {
-		return fmt.Errorf("promises broken in %d of %d runs", failedRuns, c.Int("runs"))
+		return fmt.Errorf("guarantees violated in %d of %d runs", failedRuns, c.Int("runs"))
 	}
 	return nil
 }
@@ -78,7 +78,7 @@
 		return 0, err
 	}
 	sent, whole := s.Counts()
-	fmt.Printf("seed %d: %d promises broken, %d of %d requests served, logs in %s\n", seed, len(violations), whole, sent, folder)
+	fmt.Printf("seed %d: %d guarantees violated, %d of %d requests served, logs in %s\n", seed, len(violations), whole, sent, folder)
 	for _, line := range violations {
 		fmt.Println("  " + line)
 	}
--- a/standin/internal/demo/demo.go
+++ b/standin/internal/demo/demo.go
@@ -1,4 +1,4 @@
-// Package demo starts a local system, sends each class of request through it and shows what happened.
+// Package demo starts a local system, sends requests of each class through it and prints the results.
 package demo
 
 import (
@@ -32,16 +32,17 @@
 	folderMode  = 0o750
 )
 
-// Options say where things are.
+// Options are the paths and settings of a demo.
 type Options struct {
 	Programs  string
 	Catalogue string
 	Folder    string
-	// Failures freezes a controller and kills an entry instance in the middle.
+	// Failures makes the demo freeze a controller and kill an entry instance while requests are sent.
 	Failures bool
 }
 
-// Run runs the demo; the error says what was not as it should be.
+// Run runs the demo and writes its progress and results to out. It returns an *IncorrectAnswersError if requests were
+// not answered correctly.
 func Run(out io.Writer, o Options) error {
 	d := &demo{out: out, options: o, system: &starter.System{
 		Programs:       o.Programs,
@@ -70,7 +71,7 @@
 	rows    []row
 }
 
-// row is one line of the table.
+// row is one line of the result table; slowest is the longest time of a request, or of a pair for bookings.
 type row struct {
 	class   string
 	what    string
@@ -115,7 +116,7 @@
 	return d.awaitTargets()
 }
 
-// awaitTargets waits until each entry instance can answer for each service.
+// awaitTargets waits until each entry instance serves requests for each service.
 func (d *demo) awaitTargets() error {
 	deadline := time.Now().Add(timeout)
 	for _, service := range []string{"listings", "bookings"} {
@@ -184,7 +185,7 @@
 	return fmt.Sprintf("%d %s %s", a.Status, a.Outcome, strings.TrimSpace(a.Body))
 }
 
-// bookings sends every booking twice, through different entry instances; it must run once.
+// bookings sends every booking twice with the same idempotency key. It must run once and both answers must be equal.
 func (d *demo) bookings(c *loader.Caller) {
 	out := row{class: "once", what: "bookings, each sent twice", sent: rounds}
 	for i := range rounds {
@@ -268,16 +269,16 @@
 	if incorrect > 0 {
 		return &IncorrectAnswersError{Count: incorrect}
 	}
-	fmt.Fprintln(d.out, "\nall requests were answered as they should be")
+	fmt.Fprintln(d.out, "\nall requests were answered correctly")
 	return nil
 }
 
-// IncorrectAnswersError counts the requests that were not answered as they should be.
+// IncorrectAnswersError reports how many requests were not answered correctly.
 type IncorrectAnswersError struct {
 	Count int
 }
 
 // Error implements error.
 func (e *IncorrectAnswersError) Error() string {
-	return fmt.Sprintf("%d requests were not answered rightly", e.Count)
+	return fmt.Sprintf("%d requests were not answered correctly", e.Count)
 }
--- a/standin/internal/experimenter/policies.go
+++ b/standin/internal/experimenter/policies.go
@@ -12,7 +12,8 @@
 	"chervilrail.example/core/tuner"
 )
 
-// naive sends requests in turn to all targets, which queue them, and sends them again after a timeout.
+// naive is the policy for comparison: it sends requests to all targets in turn, which queue them, and resends them
+// after naiveTimeout.
 type naive struct {
 	next int
 }
@@ -50,7 +51,8 @@
 	})
 }
 
-// enqueue works on a request when its turn comes, also when its caller has gone: the target can't know.
+// enqueue runs a request when a slot is free. It also runs requests whose caller no longer waits, because the target is
+// not notified of that.
 func (n *naive) enqueue(w *simulation, h *simulatedTarget, c *call) {
 	if h.lost {
 		return
@@ -63,7 +65,7 @@
 	h.queue = append(h.queue, start)
 }
 
-// systemPolicy is one instance of the decision packages for each entry instance.
+// systemPolicy is the policy of this system: each entry instance has its own set of the decision packages.
 type systemPolicy struct {
 	instances []*instance
 }
@@ -75,7 +77,7 @@
 	budget   *retrier.Budget
 	balancer balancer.Balancer
 	pool     *balancer.Pool
-	// outstanding are this instance's targets slots at each target.
+	// targets maps this instance's view of each target, with its own request counts, to the simulated target.
 	targets map[*balancer.Target]*simulatedTarget
 	calls   map[*admitter.Ticket]*call
 }
@@ -96,7 +98,7 @@
 	return o
 }
 
-// refresh takes the targets that have not said that they leave; each instance counts its own requests.
+// refresh rebuilds the instance's pool from the targets that are neither leaving nor expired.
 func (in *instance) refresh(w *simulation) {
 	tier := balancer.Tier{Region: "r"}
 	var known []partitioner.Target
@@ -116,7 +118,7 @@
 	in.limit.Bound(own, own+in.pool.Borrowable(w.now)/int(w.Entries))
 }
 
-// instances lists the entry instances.
+// instances returns the entry instances as partitioner instances.
 func (w *simulation) instances() []partitioner.Instance {
 	var out []partitioner.Instance
 	for i := range w.Entries {
@@ -149,7 +151,7 @@
 	}
 }
 
-// report passes the targets' loads on, once a second and late.
+// report sets the loads that the targets have reported, once a second; their age is Scenario.Reports.
 func (in *instance) report(w *simulation) {
 	if w.Reports == 0 || w.now.UnixMilli()%1000 != 0 {
 		return
@@ -193,7 +195,7 @@
 	in.resize(w, o)
 }
 
-// start finds a slot and sends, or gives up.
+// start begins the attempts of a call that the admitter has admitted.
 func (o *systemPolicy) start(w *simulation, in *instance, t *admitter.Ticket, c *call) {
 	o.attempt(w, in, t, c, nil)
 }
--- a/standin/internal/experimenter/report.go
+++ b/standin/internal/experimenter/report.go
@@ -8,7 +8,8 @@
 	"chervilrail.example/core/cataloguer"
 )
 
-// Report plays a scenario against the naive policy and ours, and writes both as a table in Markdown.
+// Report simulates a scenario with the naive policy and with the policy of this system, and writes the results as
+// tables in Markdown.
 func Report(out io.Writer, s *Scenario) {
 	fmt.Fprintf(out, "\n### %s\n\n", s.Name)
 	fmt.Fprintf(out, "%d entry instances, %d targets of %d slots, %s of work, capacity %.0f/s, seed %d\n\n",
--- a/standin/internal/experimenter/scenario.go
+++ b/standin/internal/experimenter/scenario.go
@@ -1,5 +1,5 @@
-// Package experimenter plays a load against the decision packages in logical time, and against a naive
-// policy, and reports what callers would have seen.
+// Package experimenter simulates a load in logical time, with the decision packages and with a naive policy, and
+// reports what callers would have observed.
 package experimenter
 
 import (
@@ -16,34 +16,35 @@
 	maxCount       = 10_000
 )
 
-// Phase is a stretch of time with one load.
+// Phase is a period with a constant load.
 type Phase struct {
 	Name string
-	// Length and load; the load is in percent of what all slots together can do.
+	// Load is in percent of the capacity of all slots.
 	Length time.Duration
 	Load   int64
-	// Lost targets stop answering in this phase; Leaving ones announced that they leave.
+	// Lost is the number of targets that do not answer in this phase, Leaving the number that have announced that they
+	// leave.
 	Lost    int64
 	Leaving int64
 }
 
-// Scenario is one experiment.
+// Scenario describes an experiment.
 type Scenario struct {
 	Name    string
 	Seed    int64
 	Entries int64
 	Targets int64
 	Slots   int64
-	// Service is the mean work of a request; an upload takes twenty times that.
+	// Service is the mean service time of a request; uploads take 20 times as long.
 	Service time.Duration
-	// Shares of the classes in percent; the rest is browsing.
+	// Shares are the shares of the classes in percent; the remaining requests are of class browse.
 	Shares map[cataloguer.Class]int64
-	// Reports is how old reported loads are; 0 stops them.
+	// Reports is the age of the loads that targets report; with 0 they report none.
 	Reports time.Duration
 	Phases  []Phase
 }
 
-// Load reads a scenario file.
+// Load reads a scenario file. It returns the faults found in it as one error.
 func Load(path string) (*Scenario, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -91,7 +92,7 @@
 	}
 }
 
-// capacity is how many requests a second all slots can do, uploads weighed by their length.
+// capacity returns how many requests a second all slots can serve, with uploads weighted by their longer service time.
 func (s *Scenario) capacity() float64 {
 	uploads := float64(s.Shares[cataloguer.Upload]) / percent
 	mean := s.Service.Seconds() * (1 - uploads + uploads*uploadFactor)
--- a/standin/internal/experimenter/world.go
+++ b/standin/internal/experimenter/simulation.go
@@ -14,9 +14,10 @@
 
 const (
 	uploadFactor = 20
-	// callerTimeout is how long a caller waits for an answer; uploads wait as long as it takes.
+	// callerTimeout is how long a caller waits for an answer. Uploads have no timeout.
 	callerTimeout = 3 * time.Second
-	networkDelay  = time.Millisecond
+	// networkDelay is the time from sending a request until it reaches the target.
+	networkDelay = time.Millisecond
 )
 
 // call is one request of a caller.
@@ -30,13 +31,14 @@
 	ended    bool
 }
 
-// policy is what lies between callers and targets.
+// policy decides how the requests of callers reach the targets.
 type policy interface {
 	arrive(w *simulation, c *call)
 	tick(w *simulation)
 }
 
-// simulatedTarget is a target with its slots. What does not fit is shed or queued, as the policy's targets do.
+// simulatedTarget is a target with its slots. The policy decides whether requests without a free slot are shed or
+// queued.
 type simulatedTarget struct {
 	*balancer.Target
 	queue   []func()
@@ -44,16 +46,16 @@
 	peak    int
 	lost    bool
 	leaving bool
-	// announcedAt is when a lost host announced itself last.
+	// announcedAt is the time of the last announcement of a lost target.
 	announcedAt time.Time
 }
 
-// expired reports whether the host's last announcement no longer holds.
+// expired reports whether the lease of a lost target has expired.
 func (h *simulatedTarget) expired(now time.Time) bool {
 	return h.lost && now.Sub(h.announcedAt) >= registrar.Lease
 }
 
-// simulation is the logical time, the targets and the counts.
+// simulation contains the logical clock, the pending events, the targets and the results of a run.
 type simulation struct {
 	*Scenario
 	now     time.Time
@@ -65,26 +67,28 @@
 	result  *Result
 }
 
-// Result is what the callers of one run saw.
+// Result contains the figures of one run as callers observed them.
 type Result struct {
 	Classes map[cataloguer.Class]*ClassResult
-	// Retries counts attempts beyond the first; Outside counts work that began without a free slot.
+	// Retries counts attempts after the first, Overcommitted counts work started without a free slot, and Shed counts
+	// requests that targets refused for lack of a slot.
 	Retries       int
 	Overcommitted int
 	Shed          int
-	// Goodput is the answers a second in each phase, and Offered the requests.
+	// Goodput contains the answers a second in each phase, Offered the requests a second.
 	Goodput []float64
 	Offered []float64
 	phase   int
 	answers []int
-	// work is the slot time of the answers in each phase.
+	// work contains the total slot time of the answered requests in each phase.
 	work  []time.Duration
 	calls []int
-	// LateStarts counts work that began at a leaving target more than three seconds after it said so.
+	// LateStarts counts work started at a leaving target more than three seconds after the target announced that it
+	// leaves.
 	LateStarts int
 }
 
-// ClassResult is the part of one class.
+// ClassResult contains the figures of one class; Times are in microseconds.
 type ClassResult struct {
 	Calls    int
 	Answered int
@@ -152,7 +156,7 @@
 	return w
 }
 
-// Run plays the scenario against one policy.
+// Run simulates a scenario with one policy.
 func Run(s *Scenario, build func(w *simulation) policy) *Result {
 	w := newSimulation(s, build)
 	var start time.Duration
@@ -178,7 +182,7 @@
 	return w.result
 }
 
-// utilisation is the percentage of all slot time in a phase that went into answers.
+// utilisation returns the percentage of the total slot time of a phase that was spent on answered requests.
 func (r *Result) utilisation(s *Scenario, phase int) float64 {
 	all := s.Phases[phase].Length * time.Duration(s.Targets*s.Slots)
 	return percent * float64(r.work[phase]) / float64(all)
@@ -206,7 +210,8 @@
 	}
 }
 
-// scheduleArrivals lets one caller arrive and arranges the one after it, at random times around the phase's load.
+// scheduleArrivals makes one call arrive now and schedules the next one. The intervals are exponentially distributed,
+// with the mean that gives the load of the phase.
 func (w *simulation) scheduleArrivals(end time.Time) {
 	if !w.now.Before(end) {
 		return
@@ -245,7 +250,7 @@
 	return cataloguer.Browse
 }
 
-// answered counts an answer if its caller still waits.
+// answered counts an answer, as failed if it arrives after the deadline of its call.
 func (w *simulation) answered(c *call) {
 	if c.ended {
 		return
@@ -276,7 +281,7 @@
 	}
 }
 
-// runWork runs work in a slot and calls done when it is over.
+// runWork occupies a slot of a target for the work of a call, then calls done and starts the next queued request.
 func (w *simulation) runWork(h *simulatedTarget, c *call, done func()) {
 	h.busy++
 	h.peak = max(h.peak, h.busy)
--- a/standin/internal/measurer/idle.go
+++ b/standin/internal/measurer/idle.go
@@ -17,13 +17,13 @@
 	percent  = 100
 )
 
-// usage is what a process says of itself in its metrics.
+// usage is the CPU time in seconds and the resident memory in bytes that a process reports in its metrics.
 type usage struct {
 	cpu    float64
 	memory float64
 }
 
-// measureIdle measures what control alone costs while no caller asks for anything.
+// measureIdle measures the CPU time and memory that the processes use without any requests from callers.
 func (m *measurer) measureIdle() error {
 	fmt.Fprintf(m.out, "\nControl alone, %d entry instances, %d targets, over %s\n\n", entries, len(m.system.Targets), idleTime)
 	fmt.Fprintln(m.out, "| role | share of a core, mean | busiest | resident memory, most |\n|---|---|---|---|")
--- a/standin/internal/measurer/measurer.go
+++ b/standin/internal/measurer/measurer.go
@@ -1,4 +1,4 @@
-// Package measurer takes the figures of docs/MEASUREMENTS.md on a local system of real processes.
+// Package measurer takes the measurements in docs/MEASUREMENTS.md on a local system of real processes.
 package measurer
 
 import (
@@ -38,7 +38,7 @@
 	bookingCallers = 16
 )
 
-// Options say where things are.
+// Options are the paths for a run. Folder is deleted and created again.
 type Options struct {
 	Programs  string
 	Catalogue string
@@ -52,7 +52,7 @@
 	number    uint64
 }
 
-// Run takes all figures and writes them.
+// Run takes all measurements and writes them to out as tables in Markdown.
 func Run(out io.Writer, o Options) error {
 	if err := os.RemoveAll(o.Folder); err != nil {
 		return err
@@ -64,7 +64,7 @@
 	if err != nil {
 		return err
 	}
-	// The figures are about cost, not about the example's limit on bookings.
+	// The example's rate limit on bookings is removed, because it would limit the measured rate.
 	unlimited := strings.ReplaceAll(string(text), "rate = 500", "rate = 0")
 	m := &measurer{out: out, catalogue: unlimited, system: &starter.System{
 		Programs: o.Programs, Folder: o.Folder, Net: measureNet, AnswerLifetime: time.Second, LogSample: 1000,
@@ -143,8 +143,8 @@
 	fmt.Fprintf(m.out, "\n%s\n\n| what | count | p50 | p99 | p99.9 | worst | failed |\n|---|---|---|---|---|---|---|\n", title)
 }
 
-// measureLatency compares calls through an entry instance with calls to the target itself, at an open rate:
-// each request's time counts from when it was due.
+// measureLatency compares requests through an entry instance with requests sent directly to the target. The load is an
+// open loop: requests are due at a constant rate, and the latency of each counts from the time at which it was due.
 func (m *measurer) measureLatency() error {
 	m.printHeading(fmt.Sprintf("Latency at %d requests/s over %s, GET, target work 0", rate, runTime))
 	direct, failed := openLoop(m.system.TargetURL(0), rate, runTime)
@@ -182,7 +182,7 @@
 	return h, failed
 }
 
-// measureLookups sends look-ups over kept connections as fast as they are answered.
+// measureLookups sends look-ups over persistent connections, from each caller as fast as they are answered.
 func (m *measurer) measureLookups() error {
 	const callers = 16
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: callers}}
@@ -224,7 +224,7 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// measureBookings compares requests that must not repeat with ordinary ones of the same service.
+// measureBookings compares requests that must run at most once with ordinary requests to the same service.
 func (m *measurer) measureBookings() error {
 	m.printHeading(fmt.Sprintf("Bookings, %d callers, claim and outcome synced on two of three disks", bookingCallers))
 	plain, failed, _ := m.closedLoop(loader.Request{Method: http.MethodGet, Path: "/", Organisation: "dumpling-club"})
@@ -316,7 +316,7 @@
 	return -1
 }
 
-// measureInForce measures from a change's acceptance until every entry instance confirmed it.
+// measureInForce measures the time from the acceptance of a change until every entry instance has confirmed it.
 func (m *measurer) measureInForce() error {
 	m.printHeading(fmt.Sprintf("From accepted to in force on %d entry instances", entries))
 	h, err := m.timeInForce(-1)
@@ -364,7 +364,7 @@
 	return confirmed == entries
 }
 
-// measureElections kills the leader again and again, and measures until another one answers.
+// measureElections kills the leader killRounds times and measures the time until another leader answers.
 func (m *measurer) measureElections() error {
 	m.printHeading("Without a leader after its kill")
 	h := newHistogram()
--- a/standin/internal/sloper/measures.go
+++ b/standin/internal/sloper/measures.go
@@ -48,7 +48,7 @@
 	return out
 }
 
-// clientBlocks measures the table of client blocks up to the full size of the target.
+// clientBlocks measures the table of client blocks up to its full target size.
 func clientBlocks() []*Series {
 	memory := &Series{Name: "client-block table, memory", Unit: "bytes", Per: "block"}
 	find := &Series{Name: "client-block look-up", Unit: "ns", Per: "million blocks"}
@@ -120,7 +120,8 @@
 	return out
 }
 
-// heartbeats measures the bytes of a renewal and its answer by the number of limits, and of the roster.
+// heartbeats measures the size of a lease renewal and its answer by the number of limits, and the size of the roster by
+// the number of instances.
 func heartbeats() []*Series {
 	request := &Series{Name: "heartbeat, there and back", Unit: "bytes", Per: "shared limit"}
 	roster := &Series{Name: "roster in an answer", Unit: "bytes", Per: "instance"}
@@ -150,7 +151,7 @@
 	return out
 }
 
-// grantRounds measures one renewal by the number of holders: it looks at every other holder.
+// grantRounds measures one renewal by the number of holders, because a renewal iterates over all other holders.
 func grantRounds() []*Series {
 	out := &Series{Name: "one renewal of 20 limits at the leader", Unit: "µs", Per: "holder"}
 	for _, n := range []int{12, 48, 200, 800} {
@@ -215,7 +216,7 @@
 	return []*Series{memory, forwarded}
 }
 
-// catalogue is one with so many entries, spread over 17 regions.
+// catalogue returns a catalogue with the given number of entries, spread over 17 regions.
 func catalogue(entries int) []byte {
 	var b strings.Builder
 	for i := range 17 {
@@ -298,7 +299,7 @@
 	return []*Series{size, write, read}
 }
 
-// commits measures a synced write by the number of commands in it.
+// commits measures a synced write to disk by the number of commands in it.
 func commits() []*Series {
 	out := &Series{Name: "synced write of a batch", Unit: "µs", Per: "command of 200 bytes"}
 	folder, err := os.MkdirTemp("", "slope")
--- a/standin/internal/sloper/sloper.go
+++ b/standin/internal/sloper/sloper.go
@@ -1,4 +1,4 @@
-// Package sloper measures how the cost of each part grows with its size, and fits a line through it.
+// Package sloper measures how the cost of each part grows with its size, and fits a line to the results.
 package sloper
 
 import (
@@ -14,15 +14,15 @@
 // Series is one quantity measured at several sizes.
 type Series struct {
 	Name string
-	// Unit of the measured value, and what the size counts.
+	// Unit is the unit of the values, Per what the size counts.
 	Unit string
 	Per  string
-	// Sizes and Values belong together.
+	// Sizes and Values have the same length: Values[i] was measured at Sizes[i].
 	Sizes  []float64
 	Values []float64
 }
 
-// Fit returns the line's start and slope, and the share of the variation that it explains.
+// Fit returns the intercept and slope of the fitted line, and its R²: the share of the variation that it explains.
 func (s *Series) Fit() (intercept, slope, rSquared float64) {
 	intercept, slope = stat.LinearRegression(s.Sizes, s.Values, nil, false)
 	return intercept, slope, stat.RSquared(s.Sizes, s.Values, nil, intercept, slope)
@@ -33,7 +33,7 @@
 	s.Values = append(s.Values, value)
 }
 
-// Run measures every series and writes them as a table in Markdown.
+// Run measures every series and writes the results to out as a table in Markdown.
 func Run(out io.Writer) error {
 	fmt.Fprintf(out, "machine: %d cores, %s/%s, %s\n\n", runtime.NumCPU(), runtime.GOOS, runtime.GOARCH, runtime.Version())
 	const padding = 1
@@ -61,7 +61,7 @@
 	return text
 }
 
-// minTime returns the time of one call, as the least of several rounds.
+// minTime returns the mean time of a call in the fastest of several rounds.
 func minTime(rounds, calls int, run func()) time.Duration {
 	shortest := time.Duration(1 << 62)
 	for range rounds {
@@ -74,7 +74,7 @@
 	return shortest
 }
 
-// heapGrowth returns the bytes that stay in use after build, while what it returns is kept.
+// heapGrowth returns by how many bytes the heap in use grows with the result of build.
 func heapGrowth(build func() any) float64 {
 	before := heapInUse()
 	kept := build()
--- a/standin/internal/trials/control_test.go
+++ b/standin/internal/trials/control_test.go
@@ -14,7 +14,7 @@
 	"chervilrail.example/core/wire"
 )
 
-// killRounds is how often a controller is killed; make soak asks for more.
+// killRounds returns how often a controller is killed. The environment variable CHERVILRAIL_ROUNDS sets another number.
 func killRounds() int {
 	if n, err := strconv.Atoi(os.Getenv("CHERVILRAIL_ROUNDS")); err == nil {
 		return n
@@ -22,8 +22,8 @@
 	return 8
 }
 
-// Controllers are killed at any moment while an operator applies one change after another. A change that
-// was accepted and is gone after the restart would have reverted under the operator's hands.
+// Guards against the loss of accepted changes: controllers are killed at random moments while an operator applies
+// changes, and every accepted change must be in force after the restart.
 func TestKilledControllersKeepAcceptedChanges(t *testing.T) {
 	is := is.New(t)
 	s := start(t, 3, 1)
@@ -39,7 +39,7 @@
 		for range 10 {
 			number++
 			v := apply(s, &wire.Change{Id: newID(t), Number: number, Catalogue: numbered(t, number)})
-			is.True(v.GetAccepted()) // the only operator's change is accepted, whoever is killed
+			is.True(v.GetAccepted()) // there is only one operator, so its change is accepted whichever controller is killed
 		}
 		group.Wait()
 		_, err := s.StartController(killed)
@@ -53,8 +53,9 @@
 	})
 }
 
-// A controller's disk is replaced by an empty one, and right after the repair a second instance is lost
-// for good. What was accepted before must still be there, and new changes must go through.
+// Guards against the loss of accepted changes after two disk losses: a controller restarts with an empty disk, and
+// immediately after its repair a second one is killed and loses its disk. Accepted changes must still be there, and new
+// changes must be accepted.
 func TestWipedDiskThenSecondLostController(t *testing.T) {
 	is := is.New(t)
 	s := start(t, 3, 1)
@@ -70,7 +71,7 @@
 	awaitVoters(t, s, 3)
 	s.Controllers[1].Kill()
 	is.NoErr(os.RemoveAll(s.DataFolder(1)))
-	until(t, "the rest still holds everything", func() bool { return status(s).GetNumber() == number })
+	until(t, "the remaining controllers have all changes", func() bool { return status(s).GetNumber() == number })
 	number++
 	is.True(apply(s, &wire.Change{Id: newID(t), Number: number, Catalogue: numbered(t, number)}).GetAccepted())
 	_, err = s.StartController(1)
@@ -78,8 +79,8 @@
 	awaitVoters(t, s, 3)
 }
 
-// Two operators send changes with the same number at the same time. Exactly one may win, and the other
-// must be told which change did. Whoever resends after a lost answer gets the first answer again.
+// Two operators send changes with the same number at the same time. Exactly one must be accepted, the other operator
+// must receive the ID of the accepted change, and resending a change must return the first verdict again.
 func TestConcurrentChangesWithOneNumberHaveOneWinner(t *testing.T) {
 	s := start(t, 3, 1)
 	for round := range 5 {
@@ -108,8 +109,8 @@
 	}
 }
 
-// A controller and an entry instance are down while 500 changes pass them by. Both must come back with the
-// newest catalogue, and must never act on one in between.
+// A controller and an entry instance are down while 500 changes are applied. Both must have the newest catalogue after
+// their restart, and must not act on an older one.
 func TestRestartAfterMissedChanges(t *testing.T) {
 	is := is.New(t)
 	s := start(t, 3, 2)
@@ -127,7 +128,7 @@
 	_, err = s.StartEntry(1)
 	is.NoErr(err)
 	awaitVoters(t, s, 3)
-	until(t, "everyone has the newest", func() bool {
+	until(t, "both entry instances have the newest catalogue", func() bool {
 		confirmed := 0
 		for _, n := range status(s).GetNodes() {
 			if n.GetNumber() == number && !n.GetLost() {
@@ -136,11 +137,11 @@
 		}
 		return confirmed == 2
 	})
-	t.Logf("caught up 500 changes behind in %s", time.Since(started).Round(time.Millisecond))
+	t.Logf("500 missed changes received in %s", time.Since(started).Round(time.Millisecond))
 }
 
-// The leading controller freezes, and others elect a new one. When it goes on it still believes to lead;
-// it must not answer an operator or an entry instance with its old catalogue.
+// Guards against stale reads: the leader is frozen and another one is elected. When the old leader resumes it still
+// considers itself the leader, and must not answer with its old catalogue.
 func TestFrozenLeaderDoesNotAnswer(t *testing.T) {
 	is := is.New(t)
 	s := start(t, 3, 1)
@@ -155,7 +156,7 @@
 	s.Controllers[old].Thaw()
 	for range 50 {
 		st := status(s)
-		is.True(st == nil || st.GetNumber() == number) // whoever claims to lead knows the newest change
+		is.True(st == nil || st.GetNumber() == number) // a controller that answers as leader has the newest change
 	}
 	awaitVoters(t, s, 3)
 }
--- a/standin/internal/trials/doc.go
+++ b/standin/internal/trials/doc.go
@@ -1,2 +1,2 @@
-// Package trials holds the tests of failures on real processes: killed, frozen, cut off and wiped.
+// Package trials contains failure tests with real processes that are killed, frozen, disconnected or lose their disk.
 package trials
--- a/standin/internal/trials/limits_test.go
+++ b/standin/internal/trials/limits_test.go
@@ -14,7 +14,7 @@
 	"chervilrail.example/standin/internal/starter"
 )
 
-// flood sends to all entry instances for a while, and returns how long that took.
+// flood sends requests to all entry instances for at least a duration, and returns the time that it took.
 func flood(s *starter.System, duration time.Duration) time.Duration {
 	started := time.Now()
 	var group sync.WaitGroup
@@ -32,7 +32,7 @@
 	return time.Since(started)
 }
 
-// served adds up what targets of some indexes answered.
+// served returns the number of requests served by the targets whose index is included.
 func served(s *starter.System, include func(i int) bool) int64 {
 	var sum int64
 	for _, r := range stats(s) {
@@ -45,21 +45,22 @@
 	return sum
 }
 
-// maxAllowed is how many requests a cap allows over a stretch of time, counted by sliding seconds.
+// maxAllowed returns the number of requests that a cap allows within a duration if they are counted in sliding windows
+// of one second.
 func maxAllowed(perSecond int64, duration time.Duration) int64 {
 	return perSecond * (int64(duration/time.Second) + 2)
 }
 
-// Callers send far more than a region's cap through two entry instances, while the leader is killed. Were
-// the shares to add up to more than the cap at any time, the region would be overloaded by the system.
+// Callers send far more than a region's cap through two entry instances while the leader is killed. If the shares of
+// the instances added up to more than the cap at any time, the region would be overloaded.
 func TestRegionStaysUnderItsCap(t *testing.T) {
 	is := is.New(t)
 	const limit = 64
 	s := start(t, 3, 2)
-	startTargets(t, s, "listings", 1, time.Millisecond) // in almaty alone
+	startTargets(t, s, "listings", 1, time.Millisecond) // in almaty only
 	text := strings.Replace(catalogue(t), "cap = 4000\nfloor = 20", "cap = 64\nfloor = 4", 1)
 	is.NoErr(s.Apply(text))
-	time.Sleep(time.Second) // until the window before the change has passed
+	time.Sleep(time.Second) // until the window from before the change has passed
 	before := served(s, func(int) bool { return true })
 	var group sync.WaitGroup
 	group.Go(func() {
@@ -70,11 +71,11 @@
 	group.Wait()
 	got := served(s, func(int) bool { return true }) - before
 	is.True(got <= maxAllowed(limit, took))
-	is.True(got > limit) // and the cap is used
+	is.True(got > limit) // the cap is used
 }
 
-// A service moves from one region to another, and callers send far more than the move may bring. The new
-// region's caches are cold; past the cap they would be overrun.
+// A service moves from one region to another, and callers send far more than the cap of the shift allows. Requests
+// above the cap would overload the new region, whose caches are still cold.
 func TestShiftStaysUnderItsCap(t *testing.T) {
 	is := is.New(t)
 	const limit = 32
@@ -95,5 +96,5 @@
 	took := flood(s, 4*time.Second)
 	got := served(s, astana) - before
 	is.True(got <= maxAllowed(limit, took))
-	is.True(got > limit) // and the move goes on
+	is.True(got > limit) // the shift makes progress
 }
--- a/standin/internal/trials/linear_test.go
+++ b/standin/internal/trials/linear_test.go
@@ -15,7 +15,7 @@
 	"chervilrail.example/standin/internal/starter"
 )
 
-// catalogueState is what the catalogue's history is checked against: one register with a number.
+// catalogueState is the state of the sequential model: a register with the number and the ID of the newest change.
 type catalogueState struct {
 	number uint64
 	winner string
@@ -53,7 +53,7 @@
 	}
 }
 
-// readNumber asks controllers in turn until one that holds the read lease answers.
+// readNumber calls the controllers in turn, from index at on, until one that holds the read lease answers.
 func readNumber(s *starter.System, at int) (uint64, bool) {
 	deadline := time.Now().Add(patience)
 	for ; time.Now().Before(deadline); at++ {
@@ -69,9 +69,8 @@
 	return 0, false
 }
 
-// Operators change and read the catalogue at the same time, through different controllers, while the
-// leader is frozen and thawed. If a read could miss a change that was accepted before it began, or two
-// changes got one number, an operator would act on what is no longer true.
+// Operators change and read the catalogue concurrently through different controllers while the leader is frozen and
+// resumed. Guards against reads that miss a change accepted before they began, and against two changes with one number.
 func TestCatalogueIsLinearizable(t *testing.T) {
 	is := is.New(t)
 	s := start(t, 3, 1)
--- a/standin/internal/trials/organisations_test.go
+++ b/standin/internal/trials/organisations_test.go
@@ -19,7 +19,7 @@
 const (
 	acmeKey  = "s3cret-of-acme"
 	otherKey = "s3cret-of-other"
-	// quotaRate and quotaBurst are acme's, quotaWindow the default span over which they are counted.
+	// quotaRate and quotaBurst are the quota of acme, quotaWindow the default window in which requests are counted.
 	quotaRate   = 20
 	quotaBurst  = 10
 	quotaWindow = 5 * time.Second
@@ -32,7 +32,7 @@
 	until(t, "organisations are in force", func() bool { return f.operator.Put(context.Background(), plan) == http.StatusOK })
 }
 
-// loadWithKey sends requests with a key from several callers until stopped, and returns all answers.
+// loadWithKey sends requests with a key from several callers. The returned function stops them and returns all answers.
 func (f *fleet) loadWithKey(callers int, secret string) (stop func() []speaker.Answer) {
 	return f.loadWith(callers, func(c *speaker.Client) { c.Secret = secret })
 }
@@ -46,7 +46,7 @@
 	return out
 }
 
-// maxRunsInWindow is the most runs of an organisation in any window.
+// maxRunsInWindow returns the highest number of runs of an organisation in any window of quotaWindow.
 func maxRunsInWindow(starts []speaker.Start, organisation string) int {
 	var at []time.Time
 	most, first := 0, 0
@@ -63,8 +63,8 @@
 	return most
 }
 
-// Guards against quotas that are passed, or hardly used, while controllers and entry instances are killed under
-// pressure, and against keys in logs, at targets, or in use after they were taken away.
+// Guards against quotas that are exceeded or used by less than 80% while controllers and entry instances are killed
+// under load, and against keys that appear in logs, reach targets, or are accepted after they were withdrawn.
 func TestOrganisationsOnThePlatform(t *testing.T) {
 	is := is.New(t)
 	f := startFleet(t, 3, 3, 6)
@@ -92,14 +92,14 @@
 	lasted := time.Since(started)
 	starts := f.starts()
 	most := maxRunsInWindow(starts, "acme")
-	t.Logf("%d runs of acme in %v, %d in the fullest window", len(starts), lasted, most)
+	t.Logf("%d runs in %v, at most %d of acme in a window", len(starts), lasted, most)
 	is.True(most <= quotaRate*int(quotaWindow.Seconds())+quotaBurst)
 	is.True(most > quotaRate*int(quotaWindow.Seconds())*8/10)
 	for _, s := range starts[1:] {
 		is.True(!s.Keyed)
 	}
 	f.checkOnce(t)
-	t.Run("a key is taken away", func(t *testing.T) {
+	t.Run("a key is withdrawn", func(t *testing.T) {
 		is := is.New(t)
 		acme.Keys = nil
 		f.putOrganisations(t, 3, acme, other)
--- a/standin/internal/trials/platform_test.go
+++ b/standin/internal/trials/platform_test.go
@@ -18,10 +18,10 @@
 
 const service = "listings"
 
-// refusedPause keeps callers whose organisation's quota is used up from doing nothing but being refused.
+// refusedPause is the pause of a caller after a refusal by a quota, so that callers do not spin.
 const refusedPause = 10 * time.Millisecond
 
-// fleet is a running system that speaks the users' platform's language, with targets and callers around it.
+// fleet is a running system with the protocol of the users' platform, with its targets and an operator.
 type fleet struct {
 	*starter.PlatformSystem
 	operator *speaker.Operator
@@ -58,12 +58,12 @@
 	}
 }
 
-// load sends requests from several callers until stopped, and returns all answers.
+// load sends requests from several callers. The returned function stops them and returns all answers.
 func (f *fleet) load(callers int) (stop func() []speaker.Answer) {
 	return f.loadWith(callers, func(*speaker.Client) {})
 }
 
-// loadWith does the same with callers that are prepared first.
+// loadWith is load with a function that prepares each client.
 func (f *fleet) loadWith(callers int, prepare func(c *speaker.Client)) (stop func() []speaker.Answer) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var mu sync.Mutex
@@ -95,20 +95,20 @@
 	}
 }
 
-// check fails unless every request was answered whole and none ran twice.
+// check fails unless every request received a complete answer and none ran twice.
 func (f *fleet) check(t *testing.T, answers []speaker.Answer) {
 	t.Helper()
 	is := is.New(t)
 	for _, a := range answers {
 		if !a.Whole {
-			t.Errorf("%s ended with %d %q: %v", a.ID, a.Status, a.Body, a.Err)
+			t.Errorf("%s was answered with %d %q: %v", a.ID, a.Status, a.Body, a.Err)
 		}
 	}
 	f.checkOnce(t)
 	is.True(len(answers) > 100)
 }
 
-// checkOnce fails if some attempt ran twice, on one target or on two.
+// checkOnce fails if an attempt ran twice, on the same target or on two targets.
 func (f *fleet) checkOnce(t *testing.T) {
 	t.Helper()
 	runs := map[string]int{}
@@ -124,7 +124,8 @@
 	}
 }
 
-// A calm day with all the planned work that a day may bring: nobody notices any of it.
+// Guards against requests that fail or run twice because of planned operations: changes of the plan, departures of
+// targets, evacuations, and restarts and reloads of entry instances.
 func TestPlannedOperationsOnThePlatform(t *testing.T) {
 	f := startFleet(t, 5, 3, 6)
 	ctx := context.Background()
@@ -133,7 +134,7 @@
 		stop := f.load(4)
 		for v := 2; v < 12; v++ {
 			is.Equal(f.operator.Put(ctx, speaker.Plan(v, v-1, service)), http.StatusOK)
-			is.Equal(f.operator.Put(ctx, speaker.Plan(v, v-1, service)), http.StatusOK) // its answer was lost
+			is.Equal(f.operator.Put(ctx, speaker.Plan(v, v-1, service)), http.StatusOK) // a resent change, as after a lost answer
 			is.Equal(f.operator.Put(ctx, speaker.Plan(v, v-1, "nope")), http.StatusBadRequest)
 		}
 		is.Equal(f.operator.Put(ctx, speaker.Plan(30, 5, service)), http.StatusPreconditionFailed)
@@ -150,7 +151,7 @@
 		f.check(t, stop())
 		is.True(f.targets[0].Last().Sub(acked) < 2500*time.Millisecond)
 	})
-	t.Run("a zone is emptied and taken back", func(t *testing.T) {
+	t.Run("a zone is evacuated and used again", func(t *testing.T) {
 		is := is.New(t)
 		stop := f.load(4)
 		zone := f.targets[1].Zone
@@ -159,7 +160,7 @@
 		time.Sleep(2 * time.Second)
 		is.True(f.targets[1].Last().Sub(acked) < time.Second)
 		is.Equal(f.operator.Evacuate(ctx, zone, false), http.StatusOK)
-		until(t, "the emptied zone is used again", func() bool { return f.targets[1].Last().After(acked.Add(2 * time.Second)) })
+		until(t, "the evacuated zone is used again", func() bool { return f.targets[1].Last().After(acked.Add(2 * time.Second)) })
 		f.check(t, stop())
 	})
 	t.Run("entry instances are stopped and reloaded in turn", func(t *testing.T) {
@@ -176,15 +177,15 @@
 	})
 }
 
-// Controllers are killed, all at once, and one of them loses its disk. What was acknowledged must be there
-// afterwards, traffic goes on meanwhile, and the empty one takes its seat again.
+// All controllers are killed at the same time, and one of them loses its disk. Acknowledged changes must be there after
+// the restart, requests must be served meanwhile, and the controller with the empty disk must become a voter again.
 func TestControllersFailOnThePlatform(t *testing.T) {
 	is := is.New(t)
 	f := startFleet(t, 5, 2, 4)
 	ctx := context.Background()
 	is.Equal(f.operator.Put(ctx, speaker.Plan(7, 1, service)), http.StatusOK)
 	stop := f.load(3)
-	time.Sleep(time.Second) // callers have learnt which entry instances to use
+	time.Sleep(time.Second) // until callers have looked up their entry instances
 	for _, c := range f.Controllers {
 		c.Kill()
 	}
@@ -195,16 +196,17 @@
 	}
 	until(t, "the plan is read back", func() bool { return f.operator.Version(ctx) == "r7" })
 	f.check(t, stop())
-	// The next two losses would leave two of five; with the empty one back in its seat there are three.
+	// After two more losses three of five voters remain, a majority, only if the controller with the empty disk votes
+	// again.
 	time.Sleep(5 * time.Second)
 	f.Controllers[1].Kill()
 	f.Controllers[2].Kill()
-	until(t, "a change is accepted by what is left", func() bool { return f.operator.Put(ctx, speaker.Plan(8, 7, service)) == http.StatusOK })
+	until(t, "a change is accepted by the remaining controllers", func() bool { return f.operator.Put(ctx, speaker.Plan(8, 7, service)) == http.StatusOK })
 	is.Equal(f.operator.Version(ctx), "r8")
 }
 
-// Entry instances are killed under load, and targets die. Some requests fail then, but none that may run only once
-// runs twice, and what is called not run has not run.
+// Entry instances and targets are killed under load. Some requests may fail, but no request may run twice, and a
+// request that is answered as not run must not have run.
 func TestKillsOnThePlatform(t *testing.T) {
 	is := is.New(t)
 	f := startFleet(t, 3, 3, 6)
--- a/standin/internal/trials/relay_test.go
+++ b/standin/internal/trials/relay_test.go
@@ -15,7 +15,7 @@
 	"chervilrail.example/standin/internal/starter"
 )
 
-// newRelay announces a target whose connections go through a relay.
+// newRelay starts and announces a target whose connections go through the returned relay.
 func newRelay(t *testing.T, s *starter.System) *relayer.Relay {
 	t.Helper()
 	is := is.New(t)
--- a/standin/internal/trials/soak_test.go
+++ b/standin/internal/trials/soak_test.go
@@ -12,12 +12,12 @@
 	"chervilrail.example/standin/internal/soaker"
 )
 
-// soakSeeds are runs that every change has to pass: the first few, and each that ever broke a promise.
+// soakSeeds are the seeds that every change has to pass: the first few, and every seed that has violated a guarantee.
 var soakSeeds = []uint64{1, 2}
 
-// Processes are killed, frozen, stopped and restarted while targets die or leave, links are harmed and the plan
-// changes, as the seed has it. Callers get their own whole answers or true refusals, nothing runs twice that must not,
-// and no accepted change is lost.
+// Processes are killed, frozen, stopped and restarted while targets are killed or leave, connections fail and the plan
+// changes, according to a seed. Guards against wrong or incomplete answers, requests that run although they were
+// answered as not run, requests that run twice, and lost changes.
 func TestSoak(t *testing.T) {
 	for _, seed := range soakSeeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
--- a/standin/internal/trials/system_test.go
+++ b/standin/internal/trials/system_test.go
@@ -29,7 +29,7 @@
 	firstNet = 80
 )
 
-// usedNets gives every system of a run its own addresses.
+// usedNets counts the loopback networks in use, so that every system of a test run has its own addresses.
 var usedNets atomic.Int32
 
 func catalogue(t *testing.T) string {
@@ -39,7 +39,7 @@
 	return string(data)
 }
 
-// prepare makes an empty system that ends with the test.
+// prepare returns a system without processes, which is closed when the test ends.
 func prepare(t *testing.T) *starter.System {
 	t.Helper()
 	is := is.New(t)
@@ -65,7 +65,8 @@
 	return s
 }
 
-// start runs a system and ends it with the test.
+// start starts a system with controllers, entry instances and the example catalogue, which is closed when the test
+// ends.
 func start(t *testing.T, controllers, entries int) *starter.System {
 	t.Helper()
 	is := is.New(t)
@@ -77,7 +78,7 @@
 	return s
 }
 
-// showLogs prints the end of every process's log, for a test that failed.
+// showLogs prints the end of every process's log, for a failed test.
 func showLogs(t *testing.T, folder string) {
 	const most = 3000
 	files, _ := filepath.Glob(filepath.Join(folder, "*.log"))
@@ -87,13 +88,13 @@
 	}
 }
 
-// until waits for a condition that must come true.
+// until waits for a condition and fails the test if it is not met in time.
 func until(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	deadline := time.Now().Add(patience)
 	for !condition() {
 		if time.Now().After(deadline) {
-			t.Fatalf("never came true: %s", what)
+			t.Fatalf("condition not met in time: %s", what)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
@@ -104,7 +105,7 @@
 	return wireconnect.NewOperateClient(http.DefaultClient, "http://"+address.String())
 }
 
-// status asks every controller and returns the leader's answer, or nil.
+// status calls every controller and returns the leader's status, or nil if no leader answers.
 func status(s *starter.System) *wire.StatusResponse {
 	for i := range s.Controllers {
 		if s.Controllers[i].Ended() {
@@ -149,7 +150,7 @@
 	return found
 }
 
-// apply sends a change until it is decided, under one id.
+// apply sends a change to the controllers in turn until one returns a verdict, or nil if none does in time.
 func apply(s *starter.System, change *wire.Change) *wire.Verdict {
 	deadline := time.Now().Add(patience)
 	for i := 0; time.Now().Before(deadline); i++ {
@@ -175,7 +176,7 @@
 	return id.String()
 }
 
-// numbered is the catalogue with a comment that tells its number.
+// numbered returns the catalogue with a comment that is different for every number.
 func numbered(t *testing.T, n uint64) []byte {
 	t.Helper()
 	return append([]byte(catalogue(t)), []byte("; change "+time.Unix(int64(n), 0).String()+"\n")...)
@@ -216,7 +217,7 @@
 	})
 }
 
-// stats asks the targets that still run.
+// stats returns the reports of the running targets.
 func stats(s *starter.System) []backend.Report {
 	var out []backend.Report
 	for i := range s.Targets {
--- a/standin/internal/trials/traffic_test.go
+++ b/standin/internal/trials/traffic_test.go
@@ -14,8 +14,8 @@
 	"chervilrail.example/standin/internal/loader"
 )
 
-// A caller repeats its booking through another entry instance while the first attempt still runs, and
-// again when it is done. The seat must be taken once, and the repeat must get the first answer.
+// A caller repeats its booking through another entry instance while the first attempt still runs, and again after it
+// has finished. The booking must run once, and a repeat after that must get the first answer.
 func TestRepeatedBookingRunsOnce(t *testing.T) {
 	s := start(t, 3, 2)
 	startTargets(t, s, "bookings", 2, time.Millisecond)
@@ -57,7 +57,7 @@
 		s.Entries[0].Freeze()
 		for range 5 {
 			a := book(s, 1, key, "/rsvp?work=500ms", "seat")
-			is.Equal(a.Outcome, "unknown") // never "not run", and never run again
+			is.Equal(a.Outcome, "unknown") // neither "not-run" nor a second run
 		}
 		s.Entries[0].Thaw()
 		group.Wait()
@@ -77,8 +77,8 @@
 	})
 }
 
-// One request crashes every target that runs it, and its caller sends it again through every entry
-// instance. It may cost two targets; a third would mean that the whole pool can be taken out.
+// Guards against the loss of the whole pool: a request crashes every target that runs it, and its caller resends it
+// through every entry instance. At most two targets may crash.
 func TestPoisonRequestCostsTwoTargetsAtMost(t *testing.T) {
 	is := is.New(t)
 	s := start(t, 3, 2)
@@ -100,11 +100,11 @@
 	}
 	is.True(crashed <= 2)
 	is.True(refused >= 8)
-	is.Equal(get(s, "listings", 0, "/events").Status, http.StatusOK) // bystanders go on
+	is.Equal(get(s, "listings", 0, "/events").Status, http.StatusOK) // other requests are still served
 }
 
-// A target breaks off in the middle of its answer. The caller must see a broken transfer; a short
-// answer that looks whole would show half a programme as all of it.
+// A target closes the connection in the middle of its answer. The caller must receive an error, because it would take a
+// truncated answer that looks complete for the whole one.
 func TestTruncatedAnswerIsReceivedAsError(t *testing.T) {
 	is := is.New(t)
 	s := start(t, 1, 1)
@@ -113,7 +113,7 @@
 	is.True(a.Err != nil)
 }
 
-// slowBody sends a little at a time, and tells how much it sent.
+// slowBody is a request body of 1 KiB parts with a pause before each.
 type slowBody struct {
 	remaining int
 	pause     time.Duration
@@ -128,8 +128,8 @@
 	return copy(p, strings.Repeat("x", 1024)), nil
 }
 
-// An entry instance is told to stop while an organiser's slow upload is on its way. The upload must
-// finish, new work must be refused as not run, and look-ups must stop naming the instance.
+// An entry instance receives SIGTERM while a slow upload is in flight. The upload must finish, look-ups must no longer
+// return the instance, and requests from callers with an older look-up answer must still be served.
 func TestPlannedStopFinishesRequestsInFlight(t *testing.T) {
 	is := is.New(t)
 	s := start(t, 3, 2)
@@ -145,12 +145,12 @@
 	})
 	time.Sleep(500 * time.Millisecond)
 	s.Entries[0].Terminate()
-	until(t, "look-ups name only the other", func() bool {
+	until(t, "look-ups return only the other instance", func() bool {
 		c := &loader.Caller{Service: "listings", LookupURLs: []string{s.CallerURL(1)}}
 		entries, err := c.Entries(context.Background())
 		return err == nil && len(entries) == 1 && entries[0] == s.CallerURL(1)
 	})
-	is.Equal(get(s, "listings", 0, "/events").Status, http.StatusOK) // callers with an older answer go on
+	is.Equal(get(s, "listings", 0, "/events").Status, http.StatusOK) // callers with an older look-up answer are still served
 	group.Wait()
 	is.NoErr(upload.Err)
 	is.Equal(upload.Status, http.StatusOK)
@@ -158,8 +158,8 @@
 	is.NoErr(s.Entries[0].Wait(patience))
 }
 
-// A target announces that it leaves. Work sent to it later than a few seconds would be cut off when it
-// exits; what it still runs must finish.
+// A target announces that it leaves, and exits a few seconds later. Requests sent to it after that time would fail, and
+// running requests must finish.
 func TestLeavingTargetGetsNoNewWork(t *testing.T) {
 	is := is.New(t)
 	s := start(t, 3, 2)
@@ -187,12 +187,12 @@
 	group.Wait()
 	close(failed)
 	for a := range failed {
-		t.Errorf("a request was cut: %+v", a)
+		t.Errorf("a request failed: %+v", a)
 	}
 }
 
-// All controllers freeze. An entry instance can't know whether its catalogue was changed meanwhile, so it
-// stops acting on it within its lease, says that nothing was run, and goes on when they are back.
+// All controllers are frozen. An entry instance cannot know whether its catalogue has changed since, so it must refuse
+// requests as not run when its lease expires, and serve them again when the controllers resume.
 func TestEntryWithoutControllersRefuses(t *testing.T) {
 	s := start(t, 3, 1)
 	startTargets(t, s, "listings", 1, time.Millisecond)
@@ -209,8 +209,8 @@
 	awaitService(t, s, "listings", 0)
 }
 
-// A whole region is lost: its controller, its entry instance and its targets. Callers must be answered
-// from the other regions.
+// A whole region fails: its controller, its entry instance and its targets. Callers must be served by the other
+// regions.
 func TestRegionLost(t *testing.T) {
 	is := is.New(t)
 	s := start(t, 3, 3)
@@ -233,8 +233,8 @@
 	is.Equal(answered, 50)
 }
 
-// Connections between an entry instance and a target go silent for good while new ones work. Callers
-// must be answered over new connections, well before their own deadline.
+// All connections between an entry instance and a target stop passing data without being closed, while new connections
+// work. Requests must be served over new connections, well before the timeout of their caller.
 func TestUnresponsiveConnectionsAreReplaced(t *testing.T) {
 	is := is.New(t)
 	s := start(t, 1, 1)
@@ -248,6 +248,6 @@
 	started := time.Now()
 	a := get(s, "listings", 0, "/events")
 	is.Equal(a.Status, http.StatusOK)
-	is.True(time.Since(started) < 5*time.Second) // the entry's timeout is 10 s
+	is.True(time.Since(started) < 5*time.Second) // the timeout of the entry instance is 10 s
 	is.Equal(get(s, "listings", 0, "/events").Status, http.StatusOK)
 }
