--- a/railctl/internal/client/client.go
+++ b/railctl/internal/client/client.go
@@ -73,8 +73,8 @@
 // sent again with the same ID gets the verdict of the first time.
 func (c *Client) Apply(ctx context.Context, change *wire.Change) (*wire.Verdict, error) {
 	var verdict *wire.Verdict
-	err := c.retry(ctx, func(call context.Context, o wireconnect.OperateClient) error {
-		response, err := o.Apply(call, connect.NewRequest(&wire.ApplyRequest{Change: change}))
+	err := c.retry(ctx, func(callCtx context.Context, o wireconnect.OperateClient) error {
+		response, err := o.Apply(callCtx, connect.NewRequest(&wire.ApplyRequest{Change: change}))
 		if err == nil {
 			verdict = response.Msg.GetVerdict()
 		}
@@ -86,8 +86,8 @@
 // Get returns the catalogue in force.
 func (c *Client) Get(ctx context.Context) (*wire.GetResponse, error) {
 	var out *wire.GetResponse
-	err := c.retry(ctx, func(call context.Context, o wireconnect.OperateClient) error {
-		response, err := o.Get(call, connect.NewRequest(&wire.GetRequest{}))
+	err := c.retry(ctx, func(callCtx context.Context, o wireconnect.OperateClient) error {
+		response, err := o.Get(callCtx, connect.NewRequest(&wire.GetRequest{}))
 		if err == nil {
 			out = response.Msg
 		}
@@ -99,8 +99,8 @@
 // Status returns the leader's status of the controllers, entry instances and limits.
 func (c *Client) Status(ctx context.Context) (*wire.StatusResponse, error) {
 	var out *wire.StatusResponse
-	err := c.retry(ctx, func(call context.Context, o wireconnect.OperateClient) error {
-		response, err := o.Status(call, connect.NewRequest(&wire.StatusRequest{}))
+	err := c.retry(ctx, func(callCtx context.Context, o wireconnect.OperateClient) error {
+		response, err := o.Status(callCtx, connect.NewRequest(&wire.StatusRequest{}))
 		if err != nil {
 			return err
 		}
@@ -117,8 +117,8 @@
 // *UnreachableError with the last error when ctx is done.
 func (c *Client) retry(ctx context.Context, run func(context.Context, wireconnect.OperateClient) error) error {
 	for {
-		call, cancel := context.WithTimeout(ctx, callTimeout)
-		err := run(call, c.clients[c.next%len(c.clients)])
+		callCtx, cancel := context.WithTimeout(ctx, callTimeout)
+		err := run(callCtx, c.clients[c.next%len(c.clients)])
 		cancel()
 		if err == nil || isFinal(err) {
 			return err
--- a/standin/internal/experimenter/policies.go
+++ b/standin/internal/experimenter/policies.go
@@ -101,16 +101,16 @@
 // refresh rebuilds the instance's pool from the targets that are neither leaving nor expired.
 func (in *instance) refresh(w *simulation) {
 	tier := balancer.Tier{Region: "r"}
-	var known []partitioner.Target
+	var candidates []partitioner.Target
 	for i, h := range w.targets {
 		u := in.targetFor(h)
 		if h.leaving || h.expired(w.now) {
 			continue
 		}
-		known = append(known, partitioner.Target{Name: strconv.Itoa(i), Region: "r", Slots: int32(w.Slots)})
+		candidates = append(candidates, partitioner.Target{Name: strconv.Itoa(i), Region: "r", Slots: int32(w.Slots)})
 		tier.Targets = append(tier.Targets, u)
 	}
-	for i, n := range partitioner.Partition(in.name, partitioner.NewMembers(w.instances()), known) {
+	for i, n := range partitioner.Partition(in.name, partitioner.NewMembers(w.instances()), candidates) {
 		tier.Targets[i].SetOwn(n)
 	}
 	in.pool = &balancer.Pool{Tiers: []balancer.Tier{tier}}
--- a/standin/internal/soaker/faults.go
+++ b/standin/internal/soaker/faults.go
@@ -25,7 +25,7 @@
 type relayedTarget struct {
 	*speaker.Target
 	relay *relayer.Relay
-	// retired targets were killed or told to leave, and receive no more faults.
+	// retired is set when the target was killed or has begun to leave. It then receives no more faults.
 	retired bool
 }
 
--- a/standin/internal/soaker/soaker.go
+++ b/standin/internal/soaker/soaker.go
@@ -73,14 +73,14 @@
 	if err := s.startSystem(ctx); err != nil {
 		return nil, err
 	}
-	load, stop := context.WithCancel(ctx)
-	s.group.Go(func() { s.changePlans(load) })
+	loadCtx, stopLoad := context.WithCancel(ctx)
+	s.group.Go(func() { s.changePlans(loadCtx) })
 	for i := range callers {
-		s.group.Go(func() { s.sendRequests(load, i) })
+		s.group.Go(func() { s.sendRequests(loadCtx, i) })
 	}
 	s.runSchedule(ctx)
 	s.awaitRecovery(ctx)
-	stop()
+	stopLoad()
 	s.group.Wait()
 	s.checkEnd(ctx)
 	return s.checker.violations, nil
--- a/standin/internal/trials/control_test.go
+++ b/standin/internal/trials/control_test.go
@@ -141,7 +141,7 @@
 }
 
 // Guards against stale reads: the leader is frozen and another one is elected. When the old leader resumes it still
-// considers itself the leader, and must not answer with its old catalogue.
+// considers itself the leader, and must not answer an operator or an entry instance with its old catalogue.
 func TestFrozenLeaderDoesNotAnswer(t *testing.T) {
 	is := is.New(t)
 	s := start(t, 3, 1)
--- a/standin/internal/trials/linear_test.go
+++ b/standin/internal/trials/linear_test.go
@@ -46,8 +46,8 @@
 			case out.accepted:
 				return in.number == s.number+1, catalogueState{in.number, in.id}
 			default:
-				known := s.winner == "" || out.winner == s.winner
-				return in.number != s.number+1 && out.number == s.number && known, s
+				winnerMatches := s.winner == "" || out.winner == s.winner
+				return in.number != s.number+1 && out.number == s.number && winnerMatches, s
 			}
 		},
 	}
--- a/standin/internal/trials/platform_test.go
+++ b/standin/internal/trials/platform_test.go
@@ -134,7 +134,7 @@
 		stop := f.load(4)
 		for v := 2; v < 12; v++ {
 			is.Equal(f.operator.Put(ctx, speaker.Plan(v, v-1, service)), http.StatusOK)
-			is.Equal(f.operator.Put(ctx, speaker.Plan(v, v-1, service)), http.StatusOK) // a resent change, as after a lost answer
+			is.Equal(f.operator.Put(ctx, speaker.Plan(v, v-1, service)), http.StatusOK) // resent, as after a lost answer
 			is.Equal(f.operator.Put(ctx, speaker.Plan(v, v-1, "nope")), http.StatusBadRequest)
 		}
 		is.Equal(f.operator.Put(ctx, speaker.Plan(30, 5, service)), http.StatusPreconditionFailed)
--- a/standin/internal/trials/system_test.go
+++ b/standin/internal/trials/system_test.go
@@ -80,11 +80,11 @@
 
 // showLogs prints the end of every process's log, for a failed test.
 func showLogs(t *testing.T, folder string) {
-	const most = 3000
+	const maxBytes = 3000
 	files, _ := filepath.Glob(filepath.Join(folder, "*.log"))
 	for _, f := range files {
 		data, _ := os.ReadFile(f)
-		t.Logf("%s:\n%s", filepath.Base(f), data[max(0, len(data)-most):])
+		t.Logf("%s:\n%s", filepath.Base(f), data[max(0, len(data)-maxBytes):])
 	}
 }
 
