--- a/railctl/internal/cli/cli.go
+++ b/railctl/internal/cli/cli.go
@@ -1,4 +1,4 @@
-// Package cli is the operators' command line.
+// Package cli is the command line of railctl, the operators' tool.
 package cli
 
 import (
@@ -20,7 +20,7 @@
 	"chervilrail.example/railctl/internal/client"
 )
 
-// Exit codes for scripts.
+// Exit codes, for use in scripts.
 const (
 	exitFailure     = 1
 	exitInput       = 2
@@ -29,7 +29,7 @@
 	exitNotInForce  = 5
 )
 
-const defaultPatience = 10 * time.Second
+const defaultTimeout = 10 * time.Second
 
 // Run runs the program and returns its exit code.
 func Run(args []string) int {
@@ -48,7 +48,7 @@
 			&cli.StringFlag{Name: "key", Usage: "client key `FILE`"},
 			&cli.StringFlag{Name: "authority", Usage: "`FILE` with the authority of the controllers"},
 			&cli.StringFlag{Name: "output", Usage: "text or json", Value: "text"},
-			&cli.DurationFlag{Name: "patience", Usage: "how long to try", Value: defaultPatience},
+			&cli.DurationFlag{Name: "patience", Usage: "how long to try", Value: defaultTimeout},
 		},
 		Commands: []*cli.Command{
 			planCommand(), applyCommand(), diffCommand(), getCommand(),
@@ -60,19 +60,19 @@
 		return 0
 	}
 	fmt.Fprintln(os.Stderr, "railctl:", err)
-	return codeOf(err)
+	return exitCode(err)
 }
 
-func codeOf(err error) int {
+func exitCode(err error) int {
 	var faults *parser.FaultsError
 	var unreachable *client.UnreachableError
 	var conflict *ConflictError
-	var late *NotInForceError
+	var notInForce *NotInForceError
 	var input *InputError
 	switch {
 	case errors.As(err, &conflict):
 		return exitConflict
-	case errors.As(err, &late):
+	case errors.As(err, &notInForce):
 		return exitNotInForce
 	case errors.As(err, &unreachable):
 		return exitUnreachable
@@ -82,7 +82,7 @@
 	return exitFailure
 }
 
-// session is one call of the program: its client, its time and its output.
+// session contains the client, the context with the timeout, and the output of one run of the program.
 type session struct {
 	*client.Client
 	ctx    context.Context
@@ -124,7 +124,7 @@
 	return s, nil
 }
 
-// print writes a value as JSON, or its text form.
+// print writes value as JSON if JSON output is selected, otherwise text.
 func (s *session) print(value any, text string) error {
 	if s.json {
 		return json.NewEncoder(s.out).Encode(value)
--- a/railctl/internal/client/client.go
+++ b/railctl/internal/client/client.go
@@ -1,4 +1,4 @@
-// Package client calls the operators' service of whichever controller leads.
+// Package client calls the operator service of the controllers and finds the leading one.
 package client
 
 import (
@@ -19,10 +19,11 @@
 
 const (
 	callTimeout = 2 * time.Second
-	pause       = 100 * time.Millisecond
+	retryPause  = 100 * time.Millisecond
 )
 
-// Client asks the controllers in turn. Set the exported fields, then call Open.
+// Client sends calls to the controllers in turn until one answers. Set the exported fields, then call Open. TokenFile
+// may be empty. It is not safe for concurrent use.
 type Client struct {
 	Controllers []netip.AddrPort
 	TokenFile   string
@@ -33,7 +34,7 @@
 	next    int
 }
 
-// Open makes the connections.
+// Open reads the token file and creates the clients. It returns a *TokenError if the file cannot be read.
 func (c *Client) Open() error {
 	if c.TokenFile != "" {
 		data, err := os.ReadFile(c.TokenFile)
@@ -54,7 +55,7 @@
 	return nil
 }
 
-// bearer adds the operator token to every call.
+// bearer is a RoundTripper that adds the operator token to every call.
 type bearer struct {
 	token string
 	next  http.RoundTripper
@@ -68,12 +69,12 @@
 	return b.next.RoundTrip(r)
 }
 
-// Apply sends a change until some controller decides it. The same change may be sent again at any time:
-// its id makes every controller give the first verdict.
+// Apply sends a change until a controller decides it, and returns the verdict. Sending is idempotent: a change that is
+// sent again with the same ID gets the verdict of the first time.
 func (c *Client) Apply(ctx context.Context, change *wire.Change) (*wire.Verdict, error) {
 	var verdict *wire.Verdict
-	err := c.insist(ctx, func(call context.Context, o wireconnect.OperateClient) error {
-		response, err := o.Apply(call, connect.NewRequest(&wire.ApplyRequest{Change: change}))
+	err := c.retry(ctx, func(callCtx context.Context, o wireconnect.OperateClient) error {
+		response, err := o.Apply(callCtx, connect.NewRequest(&wire.ApplyRequest{Change: change}))
 		if err == nil {
 			verdict = response.Msg.GetVerdict()
 		}
@@ -82,11 +83,11 @@
 	return verdict, err
 }
 
-// Get reads the catalogue in force.
+// Get returns the catalogue in force.
 func (c *Client) Get(ctx context.Context) (*wire.GetResponse, error) {
 	var out *wire.GetResponse
-	err := c.insist(ctx, func(call context.Context, o wireconnect.OperateClient) error {
-		response, err := o.Get(call, connect.NewRequest(&wire.GetRequest{}))
+	err := c.retry(ctx, func(callCtx context.Context, o wireconnect.OperateClient) error {
+		response, err := o.Get(callCtx, connect.NewRequest(&wire.GetRequest{}))
 		if err == nil {
 			out = response.Msg
 		}
@@ -95,11 +96,11 @@
 	return out, err
 }
 
-// Status reads the leader's overview.
+// Status returns the leader's status of the controllers, entry instances and limits.
 func (c *Client) Status(ctx context.Context) (*wire.StatusResponse, error) {
 	var out *wire.StatusResponse
-	err := c.insist(ctx, func(call context.Context, o wireconnect.OperateClient) error {
-		response, err := o.Status(call, connect.NewRequest(&wire.StatusRequest{}))
+	err := c.retry(ctx, func(callCtx context.Context, o wireconnect.OperateClient) error {
+		response, err := o.Status(callCtx, connect.NewRequest(&wire.StatusRequest{}))
 		if err != nil {
 			return err
 		}
@@ -112,25 +113,27 @@
 	return out, err
 }
 
-func (c *Client) insist(ctx context.Context, run func(context.Context, wireconnect.OperateClient) error) error {
+// retry runs a call against the controllers in turn until it succeeds or returns a final error. It returns an
+// *UnreachableError with the last error when ctx is done.
+func (c *Client) retry(ctx context.Context, run func(context.Context, wireconnect.OperateClient) error) error {
 	for {
-		call, cancel := context.WithTimeout(ctx, callTimeout)
-		err := run(call, c.clients[c.next%len(c.clients)])
+		callCtx, cancel := context.WithTimeout(ctx, callTimeout)
+		err := run(callCtx, c.clients[c.next%len(c.clients)])
 		cancel()
-		if err == nil || final(err) {
+		if err == nil || isFinal(err) {
 			return err
 		}
 		c.next++
 		select {
 		case <-ctx.Done():
 			return &UnreachableError{Cause: err}
-		case <-time.After(pause):
+		case <-time.After(retryPause):
 		}
 	}
 }
 
-// final reports answers that no other controller would give differently.
-func final(err error) bool {
+// isFinal reports whether every controller would answer with the same error, so that a retry is pointless.
+func isFinal(err error) bool {
 	switch connect.CodeOf(err) {
 	case connect.CodeInvalidArgument, connect.CodeUnauthenticated:
 		return true
--- a/standin/internal/backend/announcer.go
+++ b/standin/internal/backend/announcer.go
@@ -12,27 +12,27 @@
 )
 
 const (
-	announceEvery   = time.Second
-	announceTimeout = 500 * time.Millisecond
+	announceInterval = time.Second
+	announceTimeout  = 500 * time.Millisecond
 )
 
-// Announcer tells entry instances about a backend. Set the exported fields before Run.
+// Announcer announces a target to entry instances. Set the exported fields before Run.
 type Announcer struct {
-	Backend *Backend
+	Target  *Target
 	Entries []netip.AddrPort
 	Service string
 	Region  string
 	Zone    string
 	Address netip.AddrPort
 
-	// mu orders the announcements: a later sequence must not carry an earlier state.
+	// mu serialises announcements, so that a higher sequence number never carries an older state.
 	mu          sync.Mutex
 	incarnation uint64
 	sequence    uint64
 	next        int
 }
 
-// Run announces until ctx ends.
+// Run announces the target as ready once a second until ctx is done.
 func (a *Announcer) Run(ctx context.Context) {
 	a.incarnation = uint64(time.Now().UnixNano())
 	for {
@@ -40,33 +40,34 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(announceEvery):
+		case <-time.After(announceInterval):
 		}
 	}
 }
 
-// Announce sends one announcement to the first entry instance that takes it.
+// Announce sends an announcement to the entry instances in turn until one accepts it, starting with the one that
+// accepted the last. It reports whether an entry instance accepted it.
 func (a *Announcer) Announce(state string) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.sequence++
 	body, err := json.Marshal(map[string]any{
-		"name":        a.Backend.Name,
+		"name":        a.Target.Name,
 		"incarnation": a.incarnation,
 		"sequence":    a.sequence,
 		"service":     a.Service,
 		"address":     a.Address.String(),
 		"region":      a.Region,
 		"zone":        a.Zone,
-		"slots":       a.Backend.Slots,
-		"load":        a.Backend.Load(),
+		"slots":       a.Target.Slots,
+		"load":        a.Target.Load(),
 		"state":       state,
 	})
 	if err != nil {
 		return false
 	}
 	for range a.Entries {
-		if a.put(a.Entries[a.next%len(a.Entries)], body) {
+		if a.send(a.Entries[a.next%len(a.Entries)], body) {
 			return true
 		}
 		a.next++
@@ -74,7 +75,7 @@
 	return false
 }
 
-func (a *Announcer) put(entry netip.AddrPort, body []byte) bool {
+func (a *Announcer) send(entry netip.AddrPort, body []byte) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), announceTimeout)
 	defer cancel()
 	url := "http://" + entry.String() + "/announce"
--- a/standin/internal/cli/cli.go
+++ b/standin/internal/cli/cli.go
@@ -1,4 +1,4 @@
-// Package cli is the stand-ins' command line.
+// Package cli is the command line of standin.
 package cli
 
 import (
@@ -26,14 +26,14 @@
 	defaultWork   = 5 * time.Millisecond
 	headerTimeout = 10 * time.Second
 	stopTimeout   = time.Minute
-	leaveTime     = 3 * time.Second
+	leaveDelay    = 3 * time.Second
 )
 
 // Run runs the program and returns its exit code.
 func Run(args []string) int {
 	root := &cli.Command{
 		Name:  "standin",
-		Usage: "play targets and callers for tests",
+		Usage: "simulate targets and callers for tests",
 		Commands: []*cli.Command{
 			targetCommand(), demoCommand(), measureCommand(), slopesCommand(), experimentCommand(), soakCommand(),
 		},
@@ -48,7 +48,7 @@
 func targetCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "target",
-		Usage: "serve requests and announce it to entry instances",
+		Usage: "run a target that announces itself to entry instances",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "name", Required: true},
 			&cli.StringFlag{Name: "service", Required: true},
@@ -59,18 +59,18 @@
 			&cli.IntFlag{Name: "slots", Value: 3},
 			&cli.DurationFlag{Name: "work", Value: defaultWork},
 		},
-		Action: target,
+		Action: runTarget,
 	}
 }
 
-func target(ctx context.Context, c *cli.Command) error {
+func runTarget(ctx context.Context, c *cli.Command) error {
 	address, err := netip.ParseAddrPort(c.String("address"))
 	if err != nil {
 		return err
 	}
-	b := &backend.Backend{Name: c.String("name"), Slots: int32(c.Int("slots")), Work: c.Duration("work")}
+	b := &backend.Target{Name: c.String("name"), Slots: int32(c.Int("slots")), Work: c.Duration("work")}
 	a := &backend.Announcer{
-		Backend: b,
+		Target:  b,
 		Service: c.String("service"),
 		Region:  c.String("region"),
 		Zone:    c.String("zone"),
@@ -88,28 +88,29 @@
 	go func() { failed <- server.ListenAndServe() }()
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	announcing, quit := context.WithCancel(context.Background())
-	go a.Run(announcing)
+	announceCtx, stopAnnouncing := context.WithCancel(context.Background())
+	go a.Run(announceCtx)
 	select {
 	case err := <-failed:
-		quit()
+		stopAnnouncing()
 		return err
 	case <-ctx.Done():
 	}
-	quit()
+	stopAnnouncing()
 	return leave(server, a)
 }
 
-// leave says so, lets what was sent meanwhile arrive, and finishes it.
+// leave announces that the target is leaving, keeps accepting requests for leaveDelay because some may still be on
+// their way, and shuts the server down when all requests are finished.
 func leave(server *http.Server, a *backend.Announcer) error {
 	a.Announce("leaving")
-	time.Sleep(leaveTime)
+	time.Sleep(leaveDelay)
 	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
 	return server.Shutdown(ctx)
 }
 
-func placeFlags() []cli.Flag {
+func pathFlags() []cli.Flag {
 	return []cli.Flag{
 		&cli.StringFlag{Name: "programs", Usage: "`FOLDER` with the built programs", Required: true},
 		&cli.StringFlag{Name: "catalogue", Usage: "catalogue `FILE`", Required: true},
@@ -120,8 +121,8 @@
 func measureCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "measure",
-		Usage: "start a local system and take its figures",
-		Flags: placeFlags(),
+		Usage: "start a local system and measure it",
+		Flags: pathFlags(),
 		Action: func(_ context.Context, c *cli.Command) error {
 			return measurer.Run(os.Stdout, measurer.Options{
 				Programs:  c.String("programs"),
@@ -135,7 +136,7 @@
 func experimentCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "experiment",
-		Usage:     "play scenarios against the decisions in logical time, and against a naive policy",
+		Usage:     "simulate scenarios in logical time with the decision packages and with a naive policy",
 		ArgsUsage: "FILE...",
 		Action: func(_ context.Context, c *cli.Command) error {
 			for _, path := range c.Args().Slice() {
@@ -153,17 +154,17 @@
 func slopesCommand() *cli.Command {
 	return &cli.Command{
 		Name:   "slopes",
-		Usage:  "measure how the cost of each part grows",
+		Usage:  "measure how the cost of each part grows with its size",
 		Action: func(context.Context, *cli.Command) error { return sloper.Run(os.Stdout) },
 	}
 }
 
 func demoCommand() *cli.Command {
-	failures := &cli.BoolFlag{Name: "failures", Usage: "freeze a controller and kill an entry instance meanwhile"}
+	failures := &cli.BoolFlag{Name: "failures", Usage: "freeze a controller and kill an entry instance while requests are sent"}
 	return &cli.Command{
 		Name:  "demo",
-		Usage: "start a local system, send each class of request, and show what happened",
-		Flags: append(placeFlags(), failures),
+		Usage: "start a local system, send requests of each class, and print the results",
+		Flags: append(pathFlags(), failures),
 		Action: func(_ context.Context, c *cli.Command) error {
 			return demo.Run(os.Stdout, demo.Options{
 				Programs:  c.String("programs"),
--- a/standin/internal/demo/demo.go
+++ b/standin/internal/demo/demo.go
@@ -1,4 +1,4 @@
-// Package demo starts a local system, sends each class of request through it and shows what happened.
+// Package demo starts a local system, sends requests of each class through it and prints the results.
 package demo
 
 import (
@@ -25,29 +25,30 @@
 	demoNet     = 77
 	controllers = 3
 	entries     = 2
-	backends    = 4
+	targets     = 4
 	uploadSize  = 8 << 20
-	patience    = 20 * time.Second
+	timeout     = 20 * time.Second
 	rounds      = 20
 	folderMode  = 0o750
 )
 
-// Options say where things are.
+// Options are the paths and settings of a demo.
 type Options struct {
 	Programs  string
 	Catalogue string
 	Folder    string
-	// Failures freezes a controller and kills an entry instance in the middle.
+	// Failures makes the demo freeze a controller and kill an entry instance while requests are sent.
 	Failures bool
 }
 
-// Run runs the demo; the error says what was not as it should be.
+// Run runs the demo and writes its progress and results to out. It returns an *IncorrectAnswersError if requests were
+// not answered correctly.
 func Run(out io.Writer, o Options) error {
 	d := &demo{out: out, options: o, system: &starter.System{
-		Programs: o.Programs,
-		Folder:   o.Folder,
-		Net:      demoNet,
-		Answer:   time.Second,
+		Programs:       o.Programs,
+		Folder:         o.Folder,
+		Net:            demoNet,
+		AnswerLifetime: time.Second,
 		Places: []starter.Place{
 			{Region: "almaty", Zone: "almaty-a"},
 			{Region: "almaty", Zone: "almaty-b"},
@@ -60,7 +61,7 @@
 		return err
 	}
 	d.requests()
-	return d.show()
+	return d.print()
 }
 
 type demo struct {
@@ -70,14 +71,14 @@
 	rows    []row
 }
 
-// row is one line of the table.
+// row is one line of the result table; slowest is the longest time of a request, or of a pair for bookings.
 type row struct {
-	class  string
-	what   string
-	sent   int
-	good   int
-	detail string
-	worst  time.Duration
+	class   string
+	what    string
+	sent    int
+	correct int
+	detail  string
+	slowest time.Duration
 }
 
 func (d *demo) start() error {
@@ -102,12 +103,12 @@
 		return err
 	}
 	fmt.Fprintf(d.out, "applied %s\n", filepath.Base(d.options.Catalogue))
-	for i := range backends {
+	for i := range targets {
 		service := "listings"
 		if i%2 == 1 {
 			service = "bookings"
 		}
-		_, err := d.system.StartBackend(starter.BackendSettings{Service: service, Slots: 3, Work: 3 * time.Millisecond})
+		_, err := d.system.StartTarget(starter.TargetSettings{Service: service, Slots: 3, Work: 3 * time.Millisecond})
 		if err != nil {
 			return err
 		}
@@ -115,9 +116,9 @@
 	return d.awaitTargets()
 }
 
-// awaitTargets waits until each entry instance can answer for each service.
+// awaitTargets waits until each entry instance serves requests for each service.
 func (d *demo) awaitTargets() error {
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(timeout)
 	for _, service := range []string{"listings", "bookings"} {
 		for i := range entries {
 			c := &loader.Caller{Service: service}
@@ -127,20 +128,20 @@
 					break
 				}
 				if time.Now().After(deadline) {
-					return &starter.StuckError{Process: "targets of " + service}
+					return &starter.TimeoutError{Awaited: "targets of " + service}
 				}
 				time.Sleep(50 * time.Millisecond)
 			}
 		}
 	}
-	fmt.Fprintf(d.out, "%d targets announced themselves\n\n", backends)
+	fmt.Fprintf(d.out, "%d targets announced themselves\n\n", targets)
 	return nil
 }
 
 func (d *demo) caller(service string) *loader.Caller {
 	c := &loader.Caller{Service: service, Client: netip.AddrFrom4([4]byte{10, 1, 0, 7})}
 	for i := range entries {
-		c.Lookups = append(c.Lookups, d.system.CallerURL(i))
+		c.LookupURLs = append(c.LookupURLs, d.system.CallerURL(i))
 	}
 	return c
 }
@@ -167,9 +168,9 @@
 	for range count {
 		start := time.Now()
 		a := c.Send(context.Background(), r)
-		out.worst = max(out.worst, time.Since(start))
+		out.slowest = max(out.slowest, time.Since(start))
 		if a.Status == http.StatusOK && a.Err == nil {
-			out.good++
+			out.correct++
 			continue
 		}
 		out.detail = describe(a)
@@ -184,7 +185,7 @@
 	return fmt.Sprintf("%d %s %s", a.Status, a.Outcome, strings.TrimSpace(a.Body))
 }
 
-// bookings sends every booking twice, through different entry instances; it must run once.
+// bookings sends every booking twice with the same idempotency key. It must run once and both answers must be equal.
 func (d *demo) bookings(c *loader.Caller) {
 	out := row{class: "once", what: "bookings, each sent twice", sent: rounds}
 	for i := range rounds {
@@ -202,10 +203,10 @@
 		start := time.Now()
 		first := send()
 		second := send()
-		out.worst = max(out.worst, time.Since(start))
+		out.slowest = max(out.slowest, time.Since(start))
 		runs := d.runs(key.String())
 		if first.Status == http.StatusOK && second.Body == first.Body && runs == 1 {
-			out.good++
+			out.correct++
 			continue
 		}
 		out.detail = fmt.Sprintf("%d runs, %s, %s", runs, describe(first), describe(second))
@@ -215,8 +216,8 @@
 
 func (d *demo) runs(key string) int {
 	total := 0
-	for i := range d.system.Backends {
-		response, err := http.Get(d.system.BackendURL(i) + "/stats")
+	for i := range d.system.Targets {
+		response, err := http.Get(d.system.TargetURL(i) + "/stats")
 		if err != nil {
 			continue
 		}
@@ -235,10 +236,10 @@
 	a := c.Send(context.Background(), loader.Request{
 		Method: http.MethodPost, Path: "/photos", Body: io.LimitReader(zeros{}, uploadSize),
 	})
-	out.worst = time.Since(start)
+	out.slowest = time.Since(start)
 	var reply backend.Reply
 	if json.Unmarshal([]byte(a.Body), &reply) == nil && reply.Received == uploadSize {
-		out.good = 1
+		out.correct = 1
 	} else {
 		out.detail = describe(a)
 	}
@@ -252,32 +253,32 @@
 	return len(p), nil
 }
 
-func (d *demo) show() error {
+func (d *demo) print() error {
 	const padding = 2
 	t := tabwriter.NewWriter(d.out, 0, 0, padding, ' ', 0)
 	fmt.Fprintln(t, "CLASS\tREQUESTS\tSENT\tRIGHT\tWORST\tDETAIL")
-	bad := 0
+	incorrect := 0
 	for _, r := range d.rows {
-		fmt.Fprintf(t, "%s\t%s\t%d\t%d\t%s\t%s\n", r.class, r.what, r.sent, r.good,
-			r.worst.Round(time.Millisecond), r.detail)
-		bad += r.sent - r.good
+		fmt.Fprintf(t, "%s\t%s\t%d\t%d\t%s\t%s\n", r.class, r.what, r.sent, r.correct,
+			r.slowest.Round(time.Millisecond), r.detail)
+		incorrect += r.sent - r.correct
 	}
 	if err := t.Flush(); err != nil {
 		return err
 	}
-	if bad > 0 {
-		return &WrongError{Count: bad}
+	if incorrect > 0 {
+		return &IncorrectAnswersError{Count: incorrect}
 	}
-	fmt.Fprintln(d.out, "\nall requests were answered as they should be")
+	fmt.Fprintln(d.out, "\nall requests were answered correctly")
 	return nil
 }
 
-// WrongError counts the requests that were not answered as they should be.
-type WrongError struct {
+// IncorrectAnswersError reports how many requests were not answered correctly.
+type IncorrectAnswersError struct {
 	Count int
 }
 
 // Error implements error.
-func (e *WrongError) Error() string {
-	return fmt.Sprintf("%d requests were not answered rightly", e.Count)
+func (e *IncorrectAnswersError) Error() string {
+	return fmt.Sprintf("%d requests were not answered correctly", e.Count)
 }
--- a/standin/internal/experimenter/world.go
+++ b/standin/internal/experimenter/simulation.go
@@ -14,9 +14,10 @@
 
 const (
 	uploadFactor = 20
-	// patience is how long a caller waits for an answer; uploads wait as long as it takes.
-	patience = 3 * time.Second
-	wire     = time.Millisecond
+	// callerTimeout is how long a caller waits for an answer. Uploads have no timeout.
+	callerTimeout = 3 * time.Second
+	// networkDelay is the time from sending a request until it reaches the target.
+	networkDelay = time.Millisecond
 )
 
 // call is one request of a caller.
@@ -30,61 +31,64 @@
 	ended    bool
 }
 
-// policy is what lies between callers and targets.
+// policy decides how the requests of callers reach the targets.
 type policy interface {
-	arrive(w *world, c *call)
-	tick(w *world)
+	arrive(w *simulation, c *call)
+	tick(w *simulation)
 }
 
-// host is a target with its slots. What does not fit is shed or queued, as the policy's targets do.
-type host struct {
+// simulatedTarget is a target with its slots. The policy decides whether requests without a free slot are shed or
+// queued.
+type simulatedTarget struct {
 	*balancer.Target
 	queue   []func()
 	busy    int
-	most    int
+	peak    int
 	lost    bool
 	leaving bool
-	// lostAt is when a lost host announced itself last.
-	lostAt time.Time
+	// announcedAt is the time of the last announcement of a lost target.
+	announcedAt time.Time
 }
 
-// silent reports whether the host's last announcement no longer holds.
-func (h *host) silent(now time.Time) bool {
-	return h.lost && now.Sub(h.lostAt) >= registrar.Lease
+// expired reports whether the lease of a lost target has expired.
+func (h *simulatedTarget) expired(now time.Time) bool {
+	return h.lost && now.Sub(h.announcedAt) >= registrar.Lease
 }
 
-// world is the logical time, the targets and the counts.
-type world struct {
+// simulation contains the logical clock, the pending events, the targets and the results of a run.
+type simulation struct {
 	*Scenario
-	now    time.Time
-	random *rand.Rand
-	events events
-	serial int
-	hosts  []*host
-	policy policy
-	result *Result
+	now     time.Time
+	random  *rand.Rand
+	events  events
+	serial  int
+	targets []*simulatedTarget
+	policy  policy
+	result  *Result
 }
 
-// Result is what the callers of one run saw.
+// Result contains the figures of one run as callers observed them.
 type Result struct {
 	Classes map[cataloguer.Class]*ClassResult
-	// Retries counts attempts beyond the first; Outside counts work that began without a free slot.
-	Retries int
-	Outside int
-	Shed    int
-	// Goodput is the answers a second in each phase, and Offered the requests.
+	// Retries counts attempts after the first, Overcommitted counts work started without a free slot, and Shed counts
+	// requests that targets refused for lack of a slot.
+	Retries       int
+	Overcommitted int
+	Shed          int
+	// Goodput contains the answers a second in each phase, Offered the requests a second.
 	Goodput []float64
 	Offered []float64
 	phase   int
 	answers []int
-	// work is the slot time of the answers in each phase.
+	// work contains the total slot time of the answered requests in each phase.
 	work  []time.Duration
 	calls []int
-	// LateStarts counts work that began at a leaving target more than three seconds after it said so.
+	// LateStarts counts work started at a leaving target more than three seconds after the target announced that it
+	// leaves.
 	LateStarts int
 }
 
-// ClassResult is the part of one class.
+// ClassResult contains the figures of one class; Times are in microseconds.
 type ClassResult struct {
 	Calls    int
 	Answered int
@@ -125,13 +129,13 @@
 	return last
 }
 
-func (w *world) after(d time.Duration, run func()) {
+func (w *simulation) after(d time.Duration, run func()) {
 	w.serial++
 	heap.Push(&w.events, event{w.now.Add(d), w.serial, run})
 }
 
-func newWorld(s *Scenario, build func(w *world) policy) *world {
-	w := &world{
+func newSimulation(s *Scenario, build func(w *simulation) policy) *simulation {
+	w := &simulation{
 		Scenario: s,
 		now:      time.Unix(1_000_000, 0),
 		random:   rand.New(rand.NewPCG(uint64(s.Seed), 41)),
@@ -146,23 +150,23 @@
 		w.result.Classes[c] = &ClassResult{Times: hdrhistogram.New(1, int64(10*time.Minute/time.Microsecond), 3)}
 	}
 	for range s.Targets {
-		w.hosts = append(w.hosts, &host{Target: &balancer.Target{Region: "r", Slots: int32(s.Slots)}})
+		w.targets = append(w.targets, &simulatedTarget{Target: &balancer.Target{Region: "r", Slots: int32(s.Slots)}})
 	}
 	w.policy = build(w)
 	return w
 }
 
-// Run plays the scenario against one policy.
-func Run(s *Scenario, build func(w *world) policy) *Result {
-	w := newWorld(s, build)
+// Run simulates a scenario with one policy.
+func Run(s *Scenario, build func(w *simulation) policy) *Result {
+	w := newSimulation(s, build)
 	var start time.Duration
 	for i := range s.Phases {
-		w.after(start, func() { w.enter(i) })
+		w.after(start, func() { w.startPhase(i) })
 		start += s.Phases[i].Length
 	}
 	end := w.now.Add(start)
 	w.after(0, func() { w.tick(end) })
-	w.after(0, func() { w.next(end) })
+	w.after(0, func() { w.scheduleArrivals(end) })
 	for len(w.events) > 0 {
 		e, ok := heap.Pop(&w.events).(event)
 		if !ok {
@@ -178,63 +182,64 @@
 	return w.result
 }
 
-// useful is the percentage of all slot time in a phase that went into answers.
-func (r *Result) useful(s *Scenario, phase int) float64 {
+// utilisation returns the percentage of the total slot time of a phase that was spent on answered requests.
+func (r *Result) utilisation(s *Scenario, phase int) float64 {
 	all := s.Phases[phase].Length * time.Duration(s.Targets*s.Slots)
 	return percent * float64(r.work[phase]) / float64(all)
 }
 
-func (w *world) enter(phase int) {
+func (w *simulation) startPhase(phase int) {
 	w.result.phase = phase
 	p := w.Phases[phase]
-	for i, h := range w.hosts {
+	for i, h := range w.targets {
 		lost := int64(i) < p.Lost
 		if lost && !h.lost {
-			h.lostAt = w.now
+			h.announcedAt = w.now
 		}
 		h.lost = lost
 		h.leaving = int64(i) >= p.Lost && int64(i) < p.Lost+p.Leaving
 	}
 }
 
-const tickTime = 20 * time.Millisecond
+const tickInterval = 20 * time.Millisecond
 
-func (w *world) tick(end time.Time) {
+func (w *simulation) tick(end time.Time) {
 	w.policy.tick(w)
 	if w.now.Before(end) {
-		w.after(tickTime, func() { w.tick(end) })
+		w.after(tickInterval, func() { w.tick(end) })
 	}
 }
 
-// next lets one caller arrive and arranges the one after it, at random times around the phase's load.
-func (w *world) next(end time.Time) {
+// scheduleArrivals makes one call arrive now and schedules the next one. The intervals are exponentially distributed,
+// with the mean that gives the load of the phase.
+func (w *simulation) scheduleArrivals(end time.Time) {
 	if !w.now.Before(end) {
 		return
 	}
 	rate := w.capacity() * float64(w.Phases[w.result.phase].Load) / percent
 	if rate <= 0 {
-		w.after(tickTime, func() { w.next(end) })
+		w.after(tickInterval, func() { w.scheduleArrivals(end) })
 		return
 	}
 	w.arrive()
 	gap := time.Duration(w.random.ExpFloat64() / rate * float64(time.Second))
-	w.after(gap, func() { w.next(end) })
+	w.after(gap, func() { w.scheduleArrivals(end) })
 }
 
-func (w *world) arrive() {
+func (w *simulation) arrive() {
 	c := &call{class: w.class(), due: w.now, entry: w.random.IntN(int(w.Entries))}
 	c.work = time.Duration(w.random.ExpFloat64() * float64(w.Service))
 	if c.class == cataloguer.Upload {
 		c.work *= uploadFactor
 	} else {
-		c.deadline = w.now.Add(patience)
+		c.deadline = w.now.Add(callerTimeout)
 	}
 	w.result.Classes[c.class].Calls++
 	w.result.calls[w.result.phase]++
 	w.policy.arrive(w, c)
 }
 
-func (w *world) class() cataloguer.Class {
+func (w *simulation) class() cataloguer.Class {
 	n := w.random.Int64N(percent)
 	for _, c := range []cataloguer.Class{cataloguer.Urgent, cataloguer.Once, cataloguer.Upload} {
 		if n < w.Shares[c] {
@@ -245,8 +250,8 @@
 	return cataloguer.Browse
 }
 
-// answered counts an answer if its caller still waits.
-func (w *world) answered(c *call) {
+// answered counts an answer, as failed if it arrives after the deadline of its call.
+func (w *simulation) answered(c *call) {
 	if c.ended {
 		return
 	}
@@ -262,26 +267,26 @@
 	_ = r.Times.RecordValue(int64(w.now.Sub(c.due) / time.Microsecond))
 }
 
-func (w *world) refused(c *call) {
+func (w *simulation) refused(c *call) {
 	if !c.ended {
 		c.ended = true
 		w.result.Classes[c.class].Refused++
 	}
 }
 
-func (w *world) failed(c *call) {
+func (w *simulation) failed(c *call) {
 	if !c.ended {
 		c.ended = true
 		w.result.Classes[c.class].Failed++
 	}
 }
 
-// begin runs work in a slot and calls done when it is over.
-func (w *world) begin(h *host, c *call, done func()) {
+// runWork occupies a slot of a target for the work of a call, then calls done and starts the next queued request.
+func (w *simulation) runWork(h *simulatedTarget, c *call, done func()) {
 	h.busy++
-	h.most = max(h.most, h.busy)
+	h.peak = max(h.peak, h.busy)
 	if h.busy > int(w.Slots) {
-		w.result.Outside++
+		w.result.Overcommitted++
 	}
 	w.after(c.work, func() {
 		h.busy--
--- a/standin/internal/measurer/idle.go
+++ b/standin/internal/measurer/idle.go
@@ -17,15 +17,15 @@
 	percent  = 100
 )
 
-// usage is what a process says of itself in its metrics.
+// usage is the CPU time in seconds and the resident memory in bytes that a process reports in its metrics.
 type usage struct {
 	cpu    float64
 	memory float64
 }
 
-// idle measures what control alone costs while no caller asks for anything.
-func (m *measurer) idle() error {
-	fmt.Fprintf(m.out, "\nControl alone, %d entry instances, %d targets, over %s\n\n", entries, len(m.system.Backends), idleTime)
+// measureIdle measures the CPU time and memory that the processes use without any requests from callers.
+func (m *measurer) measureIdle() error {
+	fmt.Fprintf(m.out, "\nControl alone, %d entry instances, %d targets, over %s\n\n", entries, len(m.system.Targets), idleTime)
 	fmt.Fprintln(m.out, "| role | share of a core, mean | busiest | resident memory, most |\n|---|---|---|---|")
 	roles := []struct {
 		name      string
--- a/standin/internal/sloper/sloper.go
+++ b/standin/internal/sloper/sloper.go
@@ -1,4 +1,4 @@
-// Package sloper measures how the cost of each part grows with its size, and fits a line through it.
+// Package sloper measures how the cost of each part grows with its size, and fits a line to the results.
 package sloper
 
 import (
@@ -14,18 +14,18 @@
 // Series is one quantity measured at several sizes.
 type Series struct {
 	Name string
-	// Unit of the measured value, and what the size counts.
+	// Unit is the unit of the values, Per what the size counts.
 	Unit string
 	Per  string
-	// Sizes and Values belong together.
+	// Sizes and Values have the same length: Values[i] was measured at Sizes[i].
 	Sizes  []float64
 	Values []float64
 }
 
-// Fit returns the line's start and slope, and the share of the variation that it explains.
-func (s *Series) Fit() (start, slope, explained float64) {
-	start, slope = stat.LinearRegression(s.Sizes, s.Values, nil, false)
-	return start, slope, stat.RSquared(s.Sizes, s.Values, nil, start, slope)
+// Fit returns the intercept and slope of the fitted line, and its R²: the share of the variation that it explains.
+func (s *Series) Fit() (intercept, slope, rSquared float64) {
+	intercept, slope = stat.LinearRegression(s.Sizes, s.Values, nil, false)
+	return intercept, slope, stat.RSquared(s.Sizes, s.Values, nil, intercept, slope)
 }
 
 func (s *Series) add(size int, value float64) {
@@ -33,7 +33,7 @@
 	s.Values = append(s.Values, value)
 }
 
-// Run measures every series and writes them as a table in Markdown.
+// Run measures every series and writes the results to out as a table in Markdown.
 func Run(out io.Writer) error {
 	fmt.Fprintf(out, "machine: %d cores, %s/%s, %s\n\n", runtime.NumCPU(), runtime.GOOS, runtime.GOARCH, runtime.Version())
 	const padding = 1
@@ -42,15 +42,15 @@
 	fmt.Fprintln(t, "|---\t|---\t|---\t|---\t|---\t|---\t|---\t|---\t|")
 	for _, measure := range measures() {
 		for _, s := range measure() {
-			start, slope, explained := s.Fit()
+			intercept, slope, rSquared := s.Fit()
 			fmt.Fprintf(t, "| %s\t| %s\t| %s\t| %s\t| %s\t| %.3g\t| %.4g\t| %.3f\t|\n",
-				s.Name, s.Unit, s.Per, list(s.Sizes), list(s.Values), start, slope, explained)
+				s.Name, s.Unit, s.Per, formatValues(s.Sizes), formatValues(s.Values), intercept, slope, rSquared)
 		}
 	}
 	return t.Flush()
 }
 
-func list(values []float64) string {
+func formatValues(values []float64) string {
 	text := ""
 	for i, v := range values {
 		if i > 0 {
@@ -61,29 +61,29 @@
 	return text
 }
 
-// timeOf returns the time of one call, as the least of several rounds.
-func timeOf(rounds, calls int, run func()) time.Duration {
-	least := time.Duration(1 << 62)
+// minTime returns the mean time of a call in the fastest of several rounds.
+func minTime(rounds, calls int, run func()) time.Duration {
+	shortest := time.Duration(1 << 62)
 	for range rounds {
 		start := time.Now()
 		for range calls {
 			run()
 		}
-		least = min(least, time.Since(start)/time.Duration(calls))
+		shortest = min(shortest, time.Since(start)/time.Duration(calls))
 	}
-	return least
+	return shortest
 }
 
-// heapOf returns the bytes that stay in use after build, while what it returns is kept.
-func heapOf(build func() any) float64 {
-	before := heap()
+// heapGrowth returns by how many bytes the heap in use grows with the result of build.
+func heapGrowth(build func() any) float64 {
+	before := heapInUse()
 	kept := build()
-	after := heap()
+	after := heapInUse()
 	runtime.KeepAlive(kept)
 	return float64(after) - float64(before)
 }
 
-func heap() uint64 {
+func heapInUse() uint64 {
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.GC()
--- a/standin/internal/starter/routed.go
+++ b/standin/internal/starter/routed.go
@@ -6,46 +6,48 @@
 	"strings"
 )
 
-// Ports of processes that speak the users' platform's language.
+// Ports used with the protocol of the users' platform.
 const (
-	// PlatformPort takes the calls of operators, targets and clients at a controller.
+	// PlatformPort is where controllers accept the platform's calls from operators, targets and clients.
 	PlatformPort = 7002
 	readyPort    = 8004
 	seedCount    = 3
 )
 
-// Routed is a system whose controllers are founded by seeds and whose entry instances route by a plan.
-type Routed struct {
+// PlatformSystem is a System with the protocol of the users' platform: its controller group is founded by seed
+// controllers, and its entry instances route requests according to a plan.
+type PlatformSystem struct {
 	*System
-	// Founders are the seeds' addresses; set by StartRouted.
-	Founders []string
+	// Seeds are the platform addresses of the seed controllers, set by StartPlatformSystem.
+	Seeds []string
 }
 
-// StartRouted starts controllers and entry instances; the first controllers are the seeds.
-func (s *Routed) StartRouted(controllers, entries int) error {
+// StartPlatformSystem starts controllers and entry instances. The first controllers, three at most, are the seeds.
+func (s *PlatformSystem) StartPlatformSystem(controllers, entries int) error {
 	for i := range min(controllers, seedCount) {
-		s.Founders = append(s.Founders, fmt.Sprintf("%s:%d", s.address(controllerNet, i), PlatformPort))
+		s.Seeds = append(s.Seeds, fmt.Sprintf("%s:%d", s.address(controllerNet, i), PlatformPort))
 	}
 	for i := range controllers {
-		if err := s.StartSeeded(i, true); err != nil {
+		if err := s.StartPlatformController(i, true); err != nil {
 			return err
 		}
 	}
 	for i := range entries {
-		if err := s.StartRouter(i); err != nil {
+		if err := s.StartPlatformEntry(i); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// StartSeeded starts or restarts controller i; first says that the whole system starts for the first time.
-func (s *Routed) StartSeeded(i int, first bool) error {
+// StartPlatformController starts or restarts controller i. Set initial only at the first start of the whole system: the
+// seeds then found a new controller group.
+func (s *PlatformSystem) StartPlatformController(i int, initial bool) error {
 	name := fmt.Sprintf("c%d", i+1)
 	address := s.address(controllerNet, i)
 	place := s.place(i)
 	found := "no"
-	if first {
+	if initial {
 		found = "yes"
 	}
 	path, err := s.write(name+".ini", fmt.Sprintf(`[controller]
@@ -71,7 +73,7 @@
 lease = 4s
 patience = 4s
 `, place.Region, place.Zone, s.DataFolder(i), address, ControlPort, address, OperatorPort, address, PlatformPort,
-		strings.Join(s.Founders, ", "), found, s.zones()))
+		strings.Join(s.Seeds, ", "), found, s.zones()))
 	if err != nil {
 		return err
 	}
@@ -79,11 +81,11 @@
 	if err != nil {
 		return err
 	}
-	s.Controllers = put(s.Controllers, i, p)
+	s.Controllers = setOrAppend(s.Controllers, i, p)
 	return nil
 }
 
-func (s *Routed) zones() string {
+func (s *PlatformSystem) zones() string {
 	out := ""
 	for _, p := range s.Places {
 		out += p.Zone + " = " + p.Region + "\n"
@@ -91,8 +93,8 @@
 	return out
 }
 
-// StartRouter starts or restarts entry instance i.
-func (s *Routed) StartRouter(i int) error {
+// StartPlatformEntry starts or restarts entry instance i.
+func (s *PlatformSystem) StartPlatformEntry(i int) error {
 	name := fmt.Sprintf("e%d", i+1)
 	address := s.address(entryNet, i)
 	place := s.place(i)
@@ -116,7 +118,7 @@
 patience = 6s
 `, name, place.Region, place.Zone, address, CallerPort, address, readyPort, address, PeerPort, address,
 		MetricsPort,
-		strings.Join(s.Founders, ", "), ControlPort))
+		strings.Join(s.Seeds, ", "), ControlPort))
 	if err != nil {
 		return err
 	}
@@ -124,11 +126,11 @@
 	if err != nil {
 		return err
 	}
-	s.Entries = put(s.Entries, i, p)
+	s.Entries = setOrAppend(s.Entries, i, p)
 	return nil
 }
 
-func put(list []*Process, i int, p *Process) []*Process {
+func setOrAppend(list []*Process, i int, p *Process) []*Process {
 	if i < len(list) {
 		list[i] = p
 		return list
@@ -136,8 +138,8 @@
 	return append(list, p)
 }
 
-// PlatformURLs are the base URLs of all controllers for the platform's calls.
-func (s *Routed) PlatformURLs() []string {
+// PlatformURLs returns the base URLs of all controllers for the platform's calls.
+func (s *PlatformSystem) PlatformURLs() []string {
 	var out []string
 	for i := range s.Controllers {
 		out = append(out, fmt.Sprintf("http://%s:%d", s.address(controllerNet, i), PlatformPort))
@@ -145,10 +147,10 @@
 	return out
 }
 
-// LogFile is where a process's lines go.
-func (s *Routed) LogFile(name string) string { return filepath.Join(s.Folder, name+".log") }
+// LogFile returns the path of a process's log file.
+func (s *PlatformSystem) LogFile(name string) string { return filepath.Join(s.Folder, name+".log") }
 
-// ReadyAddress answers whether entry instance i is ready.
-func (s *Routed) ReadyAddress(i int) string {
+// ReadyAddress returns the address at which entry instance i reports whether it is ready.
+func (s *PlatformSystem) ReadyAddress(i int) string {
 	return fmt.Sprintf("%s:%d", s.address(entryNet, i), readyPort)
 }
--- a/standin/internal/trials/linear_test.go
+++ b/standin/internal/trials/linear_test.go
@@ -15,7 +15,7 @@
 	"chervilrail.example/standin/internal/starter"
 )
 
-// catalogueState is what the catalogue's history is checked against: one register with a number.
+// catalogueState is the state of the sequential model: a register with the number and the ID of the newest change.
 type catalogueState struct {
 	number uint64
 	winner string
@@ -46,14 +46,14 @@
 			case out.accepted:
 				return in.number == s.number+1, catalogueState{in.number, in.id}
 			default:
-				known := s.winner == "" || out.winner == s.winner
-				return in.number != s.number+1 && out.number == s.number && known, s
+				winnerMatches := s.winner == "" || out.winner == s.winner
+				return in.number != s.number+1 && out.number == s.number && winnerMatches, s
 			}
 		},
 	}
 }
 
-// readNumber asks controllers in turn until one that holds the read lease answers.
+// readNumber calls the controllers in turn, from index at on, until one that holds the read lease answers.
 func readNumber(s *starter.System, at int) (uint64, bool) {
 	deadline := time.Now().Add(patience)
 	for ; time.Now().Before(deadline); at++ {
@@ -69,21 +69,20 @@
 	return 0, false
 }
 
-// Operators change and read the catalogue at the same time, through different controllers, while the
-// leader is frozen and thawed. If a read could miss a change that was accepted before it began, or two
-// changes got one number, an operator would act on what is no longer true.
+// Operators change and read the catalogue concurrently through different controllers while the leader is frozen and
+// resumed. Guards against reads that miss a change accepted before they began, and against two changes with one number.
 func TestCatalogueIsLinearizable(t *testing.T) {
 	is := is.New(t)
 	s := start(t, 3, 1)
 	first := status(s).GetNumber()
-	began := time.Now()
+	started := time.Now()
 	var mu sync.Mutex
 	var history []porcupine.Operation
 	record := func(client int, in catalogueInput, call time.Time, out catalogueOutput) {
 		mu.Lock()
 		defer mu.Unlock()
 		history = append(history, porcupine.Operation{
-			ClientId: client, Input: in, Call: int64(call.Sub(began)), Output: out, Return: int64(time.Since(began)),
+			ClientId: client, Input: in, Call: int64(call.Sub(started)), Output: out, Return: int64(time.Since(started)),
 		})
 	}
 	var group sync.WaitGroup
--- a/standin/internal/trials/organisations_test.go
+++ b/standin/internal/trials/organisations_test.go
@@ -19,22 +19,22 @@
 const (
 	acmeKey  = "s3cret-of-acme"
 	otherKey = "s3cret-of-other"
-	// quotaRate and quotaBurst are acme's, quotaWindow the default span over which they are counted.
+	// quotaRate and quotaBurst are the quota of acme, quotaWindow the default window in which requests are counted.
 	quotaRate   = 20
 	quotaBurst  = 10
 	quotaWindow = 5 * time.Second
 )
 
-func (f *fleet) organise(t *testing.T, version int, list ...speaker.Organisation) {
+func (f *fleet) putOrganisations(t *testing.T, version int, list ...speaker.Organisation) {
 	t.Helper()
 	plan, err := speaker.KeyedPlan(version, version-1, service, list...)
 	is.New(t).NoErr(err)
 	until(t, "organisations are in force", func() bool { return f.operator.Put(context.Background(), plan) == http.StatusOK })
 }
 
-// press sends requests with a key from several callers until stopped, and returns all answers.
-func (f *fleet) press(callers int, secret string) (stop func() []speaker.Answer) {
-	return f.loadBy(callers, func(c *speaker.Client) { c.Secret = secret })
+// loadWithKey sends requests with a key from several callers. The returned function stops them and returns all answers.
+func (f *fleet) loadWithKey(callers int, secret string) (stop func() []speaker.Answer) {
+	return f.loadWith(callers, func(c *speaker.Client) { c.Secret = secret })
 }
 
 func (f *fleet) starts() []speaker.Start {
@@ -46,8 +46,8 @@
 	return out
 }
 
-// fullest is the most runs of an organisation in any window.
-func fullest(starts []speaker.Start, organisation string) int {
+// maxRunsInWindow returns the highest number of runs of an organisation in any window of quotaWindow.
+func maxRunsInWindow(starts []speaker.Start, organisation string) int {
 	var at []time.Time
 	most, first := 0, 0
 	for _, s := range starts {
@@ -63,46 +63,46 @@
 	return most
 }
 
-// Guards against quotas that are passed, or hardly used, while controllers and entry instances are killed under pressure, and
-// against keys in logs, at targets, or in use after they were taken away.
+// Guards against quotas that are exceeded or used by less than 80% while controllers and entry instances are killed
+// under load, and against keys that appear in logs, reach targets, or are accepted after they were withdrawn.
 func TestOrganisationsOnThePlatform(t *testing.T) {
 	is := is.New(t)
 	f := startFleet(t, 3, 3, 6)
 	acme := speaker.Organisation{Name: "acme", Keys: []string{acmeKey}, Rate: quotaRate, Burst: quotaBurst}
 	other := speaker.Organisation{Name: "other", Keys: []string{otherKey}}
-	f.organise(t, 2, acme, other)
+	f.putOrganisations(t, 2, acme, other)
 	keyless := f.client(0)
 	until(t, "requests need a key", func() bool {
 		return keyless.Send(context.Background(), http.MethodGet, "/safe/1", "k", "").Status == http.StatusUnauthorized
 	})
-	begun := time.Now()
-	stop, stopOther := f.press(6, acmeKey), f.press(2, otherKey)
+	started := time.Now()
+	stop, stopOther := f.loadWithKey(6, acmeKey), f.loadWithKey(2, otherKey)
 	time.Sleep(6 * time.Second)
 	for i := range 2 {
 		f.Controllers[i].Kill()
 		time.Sleep(2 * time.Second)
-		is.NoErr(f.StartSeeded(i, false))
+		is.NoErr(f.StartPlatformController(i, false))
 		time.Sleep(time.Second)
 	}
 	f.Entries[1].Kill()
-	is.NoErr(f.StartRouter(1))
+	is.NoErr(f.StartPlatformEntry(1))
 	time.Sleep(6 * time.Second)
 	stop()
 	stopOther()
-	lasted := time.Since(begun)
+	lasted := time.Since(started)
 	starts := f.starts()
-	most := fullest(starts, "acme")
-	t.Logf("%d runs of acme in %v, %d in the fullest window", len(starts), lasted, most)
+	most := maxRunsInWindow(starts, "acme")
+	t.Logf("%d runs in %v, at most %d of acme in a window", len(starts), lasted, most)
 	is.True(most <= quotaRate*int(quotaWindow.Seconds())+quotaBurst)
 	is.True(most > quotaRate*int(quotaWindow.Seconds())*8/10)
 	for _, s := range starts[1:] {
 		is.True(!s.Keyed)
 	}
 	f.checkOnce(t)
-	t.Run("a key is taken away", func(t *testing.T) {
+	t.Run("a key is withdrawn", func(t *testing.T) {
 		is := is.New(t)
 		acme.Keys = nil
-		f.organise(t, 3, acme, other)
+		f.putOrganisations(t, 3, acme, other)
 		time.Sleep(2500 * time.Millisecond)
 		before := fmt.Sprint(len(f.starts()))
 		client := f.client(0)
--- a/standin/internal/trials/platform_test.go
+++ b/standin/internal/trials/platform_test.go
@@ -18,12 +18,12 @@
 
 const service = "listings"
 
-// refusedPause keeps callers whose organisation's quota is used up from doing nothing but being refused.
+// refusedPause is the pause of a caller after a refusal by a quota, so that callers do not spin.
 const refusedPause = 10 * time.Millisecond
 
-// fleet is a running system that speaks the users' platform's language, with targets and callers around it.
+// fleet is a running system with the protocol of the users' platform, with its targets and an operator.
 type fleet struct {
-	*starter.Routed
+	*starter.PlatformSystem
 	operator *speaker.Operator
 	targets  []*speaker.Target
 }
@@ -31,8 +31,8 @@
 func startFleet(t *testing.T, controllers, entries, targets int) *fleet {
 	t.Helper()
 	is := is.New(t)
-	f := &fleet{Routed: &starter.Routed{System: prepare(t)}}
-	is.NoErr(f.StartRouted(controllers, entries))
+	f := &fleet{PlatformSystem: &starter.PlatformSystem{System: prepare(t)}}
+	is.NoErr(f.StartPlatformSystem(controllers, entries))
 	f.operator = &speaker.Operator{Controllers: f.PlatformURLs()}
 	for i := range targets {
 		target := &speaker.Target{
@@ -60,13 +60,13 @@
 	}
 }
 
-// load sends requests from several callers until stopped, and returns all answers.
+// load sends requests from several callers. The returned function stops them and returns all answers.
 func (f *fleet) load(callers int) (stop func() []speaker.Answer) {
-	return f.loadBy(callers, func(*speaker.Client) {})
+	return f.loadWith(callers, func(*speaker.Client) {})
 }
 
-// loadBy does the same with callers that are prepared first.
-func (f *fleet) loadBy(callers int, prepare func(c *speaker.Client)) (stop func() []speaker.Answer) {
+// loadWith is load with a function that prepares each client.
+func (f *fleet) loadWith(callers int, prepare func(c *speaker.Client)) (stop func() []speaker.Answer) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var mu sync.Mutex
 	var all []speaker.Answer
@@ -97,20 +97,20 @@
 	}
 }
 
-// check fails unless every request was answered whole and none ran twice.
+// check fails unless every request received a complete answer and none ran twice.
 func (f *fleet) check(t *testing.T, answers []speaker.Answer) {
 	t.Helper()
 	is := is.New(t)
 	for _, a := range answers {
 		if !a.Complete {
-			t.Errorf("%s ended with %d %q: %v", a.ID, a.Status, a.Body, a.Err)
+			t.Errorf("%s was answered with %d %q: %v", a.ID, a.Status, a.Body, a.Err)
 		}
 	}
 	f.checkOnce(t)
 	is.True(len(answers) > 100)
 }
 
-// checkOnce fails if some attempt ran twice, on one target or on two.
+// checkOnce fails if an attempt ran twice, on the same target or on two targets.
 func (f *fleet) checkOnce(t *testing.T) {
 	t.Helper()
 	runs := map[string]int{}
@@ -126,8 +126,9 @@
 	}
 }
 
-// A calm day with all the planned work that a day may bring: nobody notices any of it.
-func TestPlannedWorkOnThePlatform(t *testing.T) {
+// Guards against requests that fail or run twice because of planned operations: changes of the plan, departures of
+// targets, evacuations, and restarts and reloads of entry instances.
+func TestPlannedOperationsOnThePlatform(t *testing.T) {
 	f := startFleet(t, 5, 3, 6)
 	ctx := context.Background()
 	t.Run("changes", func(t *testing.T) {
@@ -135,7 +136,7 @@
 		stop := f.load(4)
 		for v := 2; v < 12; v++ {
 			is.Equal(f.operator.Put(ctx, speaker.Plan(v, v-1, service)), http.StatusOK)
-			is.Equal(f.operator.Put(ctx, speaker.Plan(v, v-1, service)), http.StatusOK) // its answer was lost
+			is.Equal(f.operator.Put(ctx, speaker.Plan(v, v-1, service)), http.StatusOK) // resent, as after a lost answer
 			is.Equal(f.operator.Put(ctx, speaker.Plan(v, v-1, "nope")), http.StatusBadRequest)
 		}
 		is.Equal(f.operator.Put(ctx, speaker.Plan(30, 5, service)), http.StatusPreconditionFailed)
@@ -152,7 +153,7 @@
 		f.check(t, stop())
 		is.True(f.targets[0].LastRequest().Sub(acked) < 2500*time.Millisecond)
 	})
-	t.Run("a zone is emptied and taken back", func(t *testing.T) {
+	t.Run("a zone is evacuated and used again", func(t *testing.T) {
 		is := is.New(t)
 		stop := f.load(4)
 		zone := f.targets[1].Zone
@@ -161,7 +162,7 @@
 		time.Sleep(2 * time.Second)
 		is.True(f.targets[1].LastRequest().Sub(acked) < time.Second)
 		is.Equal(f.operator.Evacuate(ctx, zone, false), http.StatusOK)
-		until(t, "the emptied zone is used again", func() bool { return f.targets[1].LastRequest().After(acked.Add(2 * time.Second)) })
+		until(t, "the evacuated zone is used again", func() bool { return f.targets[1].LastRequest().After(acked.Add(2 * time.Second)) })
 		f.check(t, stop())
 	})
 	t.Run("entry instances are stopped and reloaded in turn", func(t *testing.T) {
@@ -171,42 +172,43 @@
 			is.NoErr(syscall.Kill(e.PID(), syscall.SIGHUP))
 			time.Sleep(200 * time.Millisecond)
 			is.NoErr(e.Stop(patience))
-			is.NoErr(f.StartRouter(i))
+			is.NoErr(f.StartPlatformEntry(i))
 			until(t, "the entry instance is ready", func() bool { return speaker.Ready(context.Background(), f.ReadyAddress(i)) })
 		}
 		f.check(t, stop())
 	})
 }
 
-// Controllers are killed, all at once, and one of them loses its disk. What was acknowledged must be there
-// afterwards, traffic goes on meanwhile, and the empty one takes its seat again.
+// All controllers are killed at the same time, and one of them loses its disk. Acknowledged changes must be there after
+// the restart, requests must be served meanwhile, and the controller with the empty disk must become a voter again.
 func TestControllersFailOnThePlatform(t *testing.T) {
 	is := is.New(t)
 	f := startFleet(t, 5, 2, 4)
 	ctx := context.Background()
 	is.Equal(f.operator.Put(ctx, speaker.Plan(7, 1, service)), http.StatusOK)
 	stop := f.load(3)
-	time.Sleep(time.Second) // callers have learnt which entry instances to use
+	time.Sleep(time.Second) // until callers have looked up their entry instances
 	for _, c := range f.Controllers {
 		c.Kill()
 	}
 	is.NoErr(os.RemoveAll(f.DataFolder(0)))
 	time.Sleep(time.Second)
 	for i := range f.Controllers {
-		is.NoErr(f.StartSeeded(i, false))
+		is.NoErr(f.StartPlatformController(i, false))
 	}
 	until(t, "the plan is read back", func() bool { return f.operator.Version(ctx) == "r7" })
 	f.check(t, stop())
-	// The next two losses would leave two of five; with the empty one back in its seat there are three.
+	// After two more losses three of five voters remain, a majority, only if the controller with the empty disk votes
+	// again.
 	time.Sleep(5 * time.Second)
 	f.Controllers[1].Kill()
 	f.Controllers[2].Kill()
-	until(t, "a change is accepted by what is left", func() bool { return f.operator.Put(ctx, speaker.Plan(8, 7, service)) == http.StatusOK })
+	until(t, "a change is accepted by the remaining controllers", func() bool { return f.operator.Put(ctx, speaker.Plan(8, 7, service)) == http.StatusOK })
 	is.Equal(f.operator.Version(ctx), "r8")
 }
 
-// Entry instances are killed under load, and targets die. Some requests fail then, but none that may run only once
-// runs twice, and what is called not run has not run.
+// Entry instances and targets are killed under load. Some requests may fail, but no request may run twice, and a
+// request that is answered as not run must not have run.
 func TestKillsOnThePlatform(t *testing.T) {
 	is := is.New(t)
 	f := startFleet(t, 3, 3, 6)
@@ -214,7 +216,7 @@
 	for i := range f.Entries {
 		time.Sleep(300 * time.Millisecond)
 		f.Entries[i].Kill()
-		is.NoErr(f.StartRouter(i))
+		is.NoErr(f.StartPlatformEntry(i))
 		f.targets[i].Kill()
 		until(t, "the entry instance is ready", func() bool { return speaker.Ready(context.Background(), f.ReadyAddress(i)) })
 	}
--- a/standin/internal/trials/system_test.go
+++ b/standin/internal/trials/system_test.go
@@ -29,8 +29,8 @@
 	firstNet = 80
 )
 
-// nets gives every system of a run its own addresses.
-var nets atomic.Int32
+// usedNets counts the loopback networks in use, so that every system of a test run has its own addresses.
+var usedNets atomic.Int32
 
 func catalogue(t *testing.T) string {
 	t.Helper()
@@ -39,17 +39,17 @@
 	return string(data)
 }
 
-// prepare makes an empty system that ends with the test.
+// prepare returns a system without processes, which is closed when the test ends.
 func prepare(t *testing.T) *starter.System {
 	t.Helper()
 	is := is.New(t)
 	absolute, err := filepath.Abs(programs)
 	is.NoErr(err)
 	s := &starter.System{
-		Programs: absolute,
-		Folder:   t.TempDir(),
-		Net:      byte(firstNet + nets.Add(1)),
-		Answer:   time.Second,
+		Programs:       absolute,
+		Folder:         t.TempDir(),
+		Net:            byte(firstNet + usedNets.Add(1)),
+		AnswerLifetime: time.Second,
 		Places: []starter.Place{
 			{Region: "almaty", Zone: "almaty-a"},
 			{Region: "astana", Zone: "astana-a"},
@@ -65,7 +65,8 @@
 	return s
 }
 
-// start runs a system and ends it with the test.
+// start starts a system with controllers, entry instances and the example catalogue, which is closed when the test
+// ends.
 func start(t *testing.T, controllers, entries int) *starter.System {
 	t.Helper()
 	is := is.New(t)
@@ -77,23 +78,23 @@
 	return s
 }
 
-// showLogs prints the end of every process's log, for a test that failed.
+// showLogs prints the end of every process's log, for a failed test.
 func showLogs(t *testing.T, folder string) {
-	const most = 3000
+	const maxBytes = 3000
 	files, _ := filepath.Glob(filepath.Join(folder, "*.log"))
 	for _, f := range files {
 		data, _ := os.ReadFile(f)
-		t.Logf("%s:\n%s", filepath.Base(f), data[max(0, len(data)-most):])
+		t.Logf("%s:\n%s", filepath.Base(f), data[max(0, len(data)-maxBytes):])
 	}
 }
 
-// until waits for a condition that must come true.
+// until waits for a condition and fails the test if it is not met in time.
 func until(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	deadline := time.Now().Add(patience)
 	for !condition() {
 		if time.Now().After(deadline) {
-			t.Fatalf("never came true: %s", what)
+			t.Fatalf("condition not met in time: %s", what)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
@@ -104,7 +105,7 @@
 	return wireconnect.NewOperateClient(http.DefaultClient, "http://"+address.String())
 }
 
-// status asks every controller and returns the leader's answer, or nil.
+// status calls every controller and returns the leader's status, or nil if no leader answers.
 func status(s *starter.System) *wire.StatusResponse {
 	for i := range s.Controllers {
 		if s.Controllers[i].Ended() {
@@ -149,7 +150,7 @@
 	return found
 }
 
-// apply sends a change until it is decided, under one id.
+// apply sends a change to the controllers in turn until one returns a verdict, or nil if none does in time.
 func apply(s *starter.System, change *wire.Change) *wire.Verdict {
 	deadline := time.Now().Add(patience)
 	for i := 0; time.Now().Before(deadline); i++ {
@@ -175,17 +176,17 @@
 	return id.String()
 }
 
-// numbered is the catalogue with a comment that tells its number.
+// numbered returns the catalogue with a comment that is different for every number.
 func numbered(t *testing.T, n uint64) []byte {
 	t.Helper()
 	return append([]byte(catalogue(t)), []byte("; change "+time.Unix(int64(n), 0).String()+"\n")...)
 }
 
-func backends(t *testing.T, s *starter.System, service string, count int, work time.Duration) {
+func startTargets(t *testing.T, s *starter.System, service string, count int, work time.Duration) {
 	t.Helper()
 	is := is.New(t)
 	for range count {
-		_, err := s.StartBackend(starter.BackendSettings{Service: service, Slots: 3, Work: work})
+		_, err := s.StartTarget(starter.TargetSettings{Service: service, Slots: 3, Work: work})
 		is.NoErr(err)
 	}
 	for i := range s.Entries {
@@ -216,14 +217,14 @@
 	})
 }
 
-// stats asks the targets that still run.
+// stats returns the reports of the running targets.
 func stats(s *starter.System) []backend.Report {
 	var out []backend.Report
-	for i := range s.Backends {
-		if s.Backends[i].Ended() {
+	for i := range s.Targets {
+		if s.Targets[i].Ended() {
 			continue
 		}
-		response, err := http.Get(s.BackendURL(i) + "/stats")
+		response, err := http.Get(s.TargetURL(i) + "/stats")
 		if err != nil {
 			continue
 		}
