--- a/core/claimer/claimer.go
+++ b/core/claimer/claimer.go
@@ -32,7 +32,7 @@
 
 // Ledger holds the claims. Set Bound, or leave it zero for DefaultBound.
 type Ledger struct {
-	Bound int
+	MaxBytes int
 
 	records map[recordKey]*wire.ClaimRecord
 	// order lists the keys by issue time, so that forgetting looks only at the oldest.
@@ -65,7 +65,7 @@
 func (l *Ledger) grant(id recordKey, c *wire.Claim) *wire.ClaimResult {
 	// Room for the whole answer is set aside first: a full ledger must refuse before a request runs,
 	// not lose its outcome after.
-	bound := l.Bound
+	bound := l.MaxBytes
 	if bound == 0 {
 		bound = DefaultBound
 	}
--- a/core/claimer/claimer_test.go
+++ b/core/claimer/claimer_test.go
@@ -104,7 +104,7 @@
 // must get, so new work is refused while nothing has run yet.
 func TestFullLedgerRefuses(t *testing.T) {
 	is := is.New(t)
-	l := Ledger{Bound: 10 * (MaxBody + recordOverhead)}
+	l := Ledger{MaxBytes: 10 * (MaxBody + recordOverhead)}
 	granted := 0
 	for i := range 100 {
 		r := l.Claim(start, claimAt(start, fmt.Sprint(i), "e1", 1))
@@ -113,7 +113,7 @@
 		}
 	}
 	is.True(granted > 5 && granted <= 10)
-	is.True(l.bytes <= l.Bound)
+	is.True(l.bytes <= l.MaxBytes)
 }
 
 // forgetter is the naive ledger: a claim expires after a while and is granted anew.
--- a/standin/internal/sloper/measures.go
+++ b/standin/internal/sloper/measures.go
@@ -266,7 +266,7 @@
 	cost := &Series{Name: "claim and settle in the ledger", Unit: "ns", Per: "thousand claims held"}
 	now := time.Now()
 	for _, n := range []int{1000, 10_000, 50_000} {
-		l := &claimer.Ledger{Bound: 1 << 40}
+		l := &claimer.Ledger{MaxBytes: 1 << 40}
 		memory.add(n, heapOf(func() any {
 			fill(l, 0, n, now)
 			return l
@@ -288,7 +288,7 @@
 	now := time.Now()
 	for _, n := range []int{1000, 10_000, 50_000} {
 		k := &keeper.Keeper{}
-		k.Ledger.Bound = 1 << 40
+		k.Ledger.MaxBytes = 1 << 40
 		fill(&k.Ledger, 0, n, now)
 		var data []byte
 		write.add(n, float64(timeOf(3, 1, func() { data, _ = k.Snapshot() }))/micro)
