--- a/core/limiter/window.go
+++ b/core/limiter/window.go
@@ -4,11 +4,11 @@
 import "time"
 
 const (
-	// Span is the window in which use never passes the limit, where none is set.
-	Span = time.Second
+	// DefaultLength is the window in which use never passes the limit, where none is set.
+	DefaultLength = time.Second
 
 	buckets = 50
-	width   = Span / buckets
+	width   = DefaultLength / buckets
 )
 
 // Window counts use. At every instant the use of its span is at most the largest limit that Take
