--- a/core/limiter/window.go
+++ b/core/limiter/window.go
@@ -59,8 +59,8 @@
 	return now.Truncate(w.step()).Add(w.step())
 }
 
-// Free returns when the oldest use leaves the window, now if there is none.
-func (w *Window) Free(now time.Time) time.Time {
+// OldestExpiry returns when the oldest use leaves the window, now if there is none.
+func (w *Window) OldestExpiry(now time.Time) time.Time {
 	w.advance(now)
 	for i := w.at - int64(len(w.counts)) + 1; w.sum > 0 && i <= w.at; i++ {
 		if i >= 0 && w.counts[i%int64(len(w.counts))] > 0 {
--- a/core/quoter/part.go
+++ b/core/quoter/part.go
@@ -50,7 +50,7 @@
 
 // retryAt returns when there may be room again: when the oldest use leaves the window, or when more can be allotted.
 func (p *part) retryAt(now time.Time) time.Time {
-	if free := p.used.Free(now); p.held > 0 && free.After(now) {
+	if free := p.used.OldestExpiry(now); p.held > 0 && free.After(now) {
 		return free
 	}
 	if p.availableAt.After(p.exhaustedUntil) {
