--- a/core/limiter/window.go
+++ b/core/limiter/window.go
@@ -54,8 +54,8 @@
 	return w.sum
 }
 
-// Next returns when the window may have more room.
-func (w *Window) Next(now time.Time) time.Time {
+// NextBucket returns when the window may have more room.
+func (w *Window) NextBucket(now time.Time) time.Time {
 	return now.Truncate(w.step()).Add(w.step())
 }
 
