--- a/core/quarantiner/quarantiner.go
+++ b/core/quarantiner/quarantiner.go
@@ -30,8 +30,8 @@
 
 // Quarantiner holds the suspicions. Its zero value holds none.
 type Quarantiner struct {
-	// Confirm is from how many different dead targets a request counts as the cause; zero means Confirmed.
-	Confirm int
+	// Threshold is from how many different dead targets a request counts as the cause; zero means Confirmed.
+	Threshold int
 
 	mu    sync.Mutex
 	cases map[Fingerprint]*suspicion
@@ -79,8 +79,8 @@
 }
 
 func (q *Quarantiner) confirm() int {
-	if q.Confirm > 0 {
-		return q.Confirm
+	if q.Threshold > 0 {
+		return q.Threshold
 	}
 	return Confirmed
 }
--- a/entry/internal/carrier/carrier_test.go
+++ b/entry/internal/carrier/carrier_test.go
@@ -149,7 +149,7 @@
 	}
 	c := &Carrier{
 		Self: "e1", Locator: soleInstance{}, Quotas: unlimitedQuotas{}, Region: "r", Zone: "z", Codec: translator.Face{}, Views: viewsWith(view), Sender: s,
-		Quarantine: &quarantiner.Quarantiner{Confirm: 3}, Logger: log.NewNopLogger(), Metrics: NewMetrics(prometheus.NewRegistry()),
+		Quarantine: &quarantiner.Quarantiner{Threshold: 3}, Logger: log.NewNopLogger(), Metrics: NewMetrics(prometheus.NewRegistry()),
 	}
 	is.New(t).NoErr(c.Start(context.Background(), nil))
 	c.ApplyView(view)
--- a/entry/internal/cli/routed.go
+++ b/entry/internal/cli/routed.go
@@ -56,7 +56,7 @@
 	p.logger, p.closeLog = logger.Open(logger.Options{
 		Format: settings.LogFormat, Level: settings.LogLevel, Program: "entry", Instance: settings.Name,
 	}, p.registry)
-	quarantine := &quarantiner.Quarantiner{Confirm: confirmedLosses}
+	quarantine := &quarantiner.Quarantiner{Threshold: confirmedLosses}
 	p.watcher = &watcher.Watcher{
 		Node: &wire.Node{
 			Name: settings.Name, Caller: settings.Caller.String(), Peer: settings.Peer.String(), Region: settings.Region, Zone: settings.Zone,
