--- a/core/quarantiner/quarantiner.go
+++ b/core/quarantiner/quarantiner.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// Confirmed is from how many different dead targets a request counts as the cause, unless set otherwise.
-	Confirmed = 2
+	// DefaultThreshold is from how many different dead targets a request counts as the cause, unless set otherwise.
+	DefaultThreshold = 2
 	// Sentence is how long a confirmed request is refused.
 	Sentence = 5 * time.Minute
 	// memory is how long a loss counts.
@@ -82,7 +82,7 @@
 	if q.Threshold > 0 {
 		return q.Threshold
 	}
-	return Confirmed
+	return DefaultThreshold
 }
 
 // Losses returns how many targets died lately while the request was in flight there.
