--- a/core/quarantiner/quarantiner.go
+++ b/core/quarantiner/quarantiner.go
@@ -10,8 +10,8 @@
 const (
 	// DefaultThreshold is from how many different dead targets a request counts as the cause, unless set otherwise.
 	DefaultThreshold = 2
-	// Sentence is how long a confirmed request is refused.
-	Sentence = 5 * time.Minute
+	// RefusalPeriod is how long a confirmed request is refused.
+	RefusalPeriod = 5 * time.Minute
 	// memory is how long a loss counts.
 	memory = 2 * time.Minute
 	// maxTracked bounds the table; a flood of different requests must not fill the memory.
@@ -73,7 +73,7 @@
 	}
 	s.runs[run] = now.Add(memory)
 	if q.recent(now, s) >= q.confirm() {
-		s.until = now.Add(Sentence)
+		s.until = now.Add(RefusalPeriod)
 	}
 	return true
 }
--- a/core/quarantiner/quarantiner_test.go
+++ b/core/quarantiner/quarantiner_test.go
@@ -25,8 +25,8 @@
 	is.True(q.Suspect(start, poison)) // no try elsewhere
 	is.True(q.Refused(start, poison).IsZero())
 	q.Lose(start, poison, run("u2"))
-	is.Equal(q.Refused(start, poison), start.Add(Sentence))
-	is.True(q.Refused(start.Add(Sentence), poison).IsZero()) // and it ends
+	is.Equal(q.Refused(start, poison), start.Add(RefusalPeriod))
+	is.True(q.Refused(start.Add(RefusalPeriod), poison).IsZero()) // and it ends
 }
 
 // A busy page is in flight whenever a target dies. Quarantined, it would be refused to everyone although
