--- a/core/quarantiner/quarantiner.go
+++ b/core/quarantiner/quarantiner.go
@@ -47,9 +47,9 @@
 	until time.Time
 }
 
-// Lose records that a request was in flight when a target run broke off, and reports whether this is
+// RecordLoss records that a request was in flight when a target run broke off, and reports whether this is
 // news. One run counts once, however often it is told.
-func (q *Quarantiner) Lose(now time.Time, f Fingerprint, run Run) bool {
+func (q *Quarantiner) RecordLoss(now time.Time, f Fingerprint, run Run) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if q.cases == nil {
--- a/core/quarantiner/quarantiner_test.go
+++ b/core/quarantiner/quarantiner_test.go
@@ -21,10 +21,10 @@
 	is := is.New(t)
 	var q Quarantiner
 	is.True(!q.Suspect(start, poison))
-	q.Lose(start, poison, run("u1"))
+	q.RecordLoss(start, poison, run("u1"))
 	is.True(q.Suspect(start, poison)) // no try elsewhere
 	is.True(q.Refused(start, poison).IsZero())
-	q.Lose(start, poison, run("u2"))
+	q.RecordLoss(start, poison, run("u2"))
 	is.Equal(q.Refused(start, poison), start.Add(RefusalPeriod))
 	is.True(q.Refused(start.Add(RefusalPeriod), poison).IsZero()) // and it ends
 }
@@ -36,8 +36,8 @@
 	var q Quarantiner
 	for _, name := range []string{"u1", "u2", "u3", "u4"} {
 		q.Succeed(start, innocent)
-		q.Lose(start, innocent, run(name))
-		q.Lose(start, poison, run(name))
+		q.RecordLoss(start, innocent, run(name))
+		q.RecordLoss(start, poison, run(name))
 		is.True(!q.Suspect(start, innocent)) // may be tried elsewhere
 		is.True(q.Refused(start, innocent).IsZero())
 	}
@@ -47,16 +47,16 @@
 func TestOneRunCountsOnce(t *testing.T) {
 	is := is.New(t)
 	var q Quarantiner
-	is.True(q.Lose(start, poison, run("u1")))
-	is.True(!q.Lose(start, poison, run("u1"))) // told again by another instance
+	is.True(q.RecordLoss(start, poison, run("u1")))
+	is.True(!q.RecordLoss(start, poison, run("u1"))) // told again by another instance
 	is.True(q.Refused(start, poison).IsZero())
 }
 
 func TestOldLossesDoNotCount(t *testing.T) {
 	is := is.New(t)
 	var q Quarantiner
-	q.Lose(start, poison, run("u1"))
-	q.Lose(start.Add(memory), poison, run("u2"))
+	q.RecordLoss(start, poison, run("u1"))
+	q.RecordLoss(start.Add(memory), poison, run("u2"))
 	is.True(q.Refused(start.Add(memory), poison).IsZero())
 }
 
@@ -64,8 +64,8 @@
 	is := is.New(t)
 	var q Quarantiner
 	for i := range maxTracked + 1000 {
-		q.Lose(start, Fingerprint{byte(i), byte(i >> 8), byte(i >> 16)}, run("u1"))
+		q.RecordLoss(start, Fingerprint{byte(i), byte(i >> 8), byte(i >> 16)}, run("u1"))
 	}
 	is.True(len(q.cases) <= maxTracked)
-	is.True(q.Lose(start.Add(memory), Fingerprint{9, 9, 9, 9}, run("u2"))) // old ones make room
+	is.True(q.RecordLoss(start.Add(memory), Fingerprint{9, 9, 9, 9}, run("u2"))) // old ones make room
 }
--- a/entry/internal/broadcaster/broadcaster.go
+++ b/entry/internal/broadcaster/broadcaster.go
@@ -272,5 +272,5 @@
 		s.Quarantine.Succeed(now, f)
 		return
 	}
-	s.Quarantine.Lose(now, f, quarantiner.Run{Target: l.GetTarget(), Incarnation: l.GetIncarnation()})
+	s.Quarantine.RecordLoss(now, f, quarantiner.Run{Target: l.GetTarget(), Incarnation: l.GetIncarnation()})
 }
--- a/entry/internal/carrier/attempt.go
+++ b/entry/internal/carrier/attempt.go
@@ -285,7 +285,7 @@
 		return
 	}
 	run := quarantiner.Run{Target: t.Name, Incarnation: t.Incarnation}
-	if c.Quarantine.Lose(time.Now(), j.fingerprint, run) {
+	if c.Quarantine.RecordLoss(time.Now(), j.fingerprint, run) {
 		c.Views.Report(&wire.Loss{Fingerprint: j.fingerprint[:], Target: t.Name, Incarnation: t.Incarnation})
 	}
 }
--- a/entry/internal/cli/routed.go
+++ b/entry/internal/cli/routed.go
@@ -100,7 +100,7 @@
 			q.Succeed(now, f)
 			continue
 		}
-		q.Lose(now, f, quarantiner.Run{Target: l.GetTarget(), Incarnation: l.GetIncarnation()})
+		q.RecordLoss(now, f, quarantiner.Run{Target: l.GetTarget(), Incarnation: l.GetIncarnation()})
 	}
 }
 
--- a/entry/internal/forwarder/attempt.go
+++ b/entry/internal/forwarder/attempt.go
@@ -287,7 +287,7 @@
 		return
 	}
 	run := quarantiner.Run{Target: u.Name, Incarnation: u.Incarnation}
-	if f.Quarantine.Lose(now, j.fingerprint, run) {
+	if f.Quarantine.RecordLoss(now, j.fingerprint, run) {
 		f.LossBroadcaster.BroadcastLoss(&wire.Loss{
 			Fingerprint: j.fingerprint[:],
 			Target:      u.Name,
