--- a/core/quarantiner/quarantiner.go
+++ b/core/quarantiner/quarantiner.go
@@ -96,9 +96,9 @@
 	return q.recent(now, s)
 }
 
-// Succeed clears a suspicion: a request that kills what runs it never succeeds, while one that only
+// RecordSuccess clears a suspicion: a request that kills what runs it never succeeds, while one that only
 // shared a dead target soon does. It reports whether there was anything to clear.
-func (q *Quarantiner) Succeed(now time.Time, f Fingerprint) bool {
+func (q *Quarantiner) RecordSuccess(now time.Time, f Fingerprint) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.praise(now, f)
--- a/core/quarantiner/quarantiner_test.go
+++ b/core/quarantiner/quarantiner_test.go
@@ -35,7 +35,7 @@
 	is := is.New(t)
 	var q Quarantiner
 	for _, name := range []string{"u1", "u2", "u3", "u4"} {
-		q.Succeed(start, innocent)
+		q.RecordSuccess(start, innocent)
 		q.RecordLoss(start, innocent, run(name))
 		q.RecordLoss(start, poison, run(name))
 		is.True(!q.Suspect(start, innocent)) // may be tried elsewhere
--- a/entry/internal/broadcaster/broadcaster.go
+++ b/entry/internal/broadcaster/broadcaster.go
@@ -269,7 +269,7 @@
 		return
 	}
 	if l.GetSuccess() {
-		s.Quarantine.Succeed(now, f)
+		s.Quarantine.RecordSuccess(now, f)
 		return
 	}
 	s.Quarantine.RecordLoss(now, f, quarantiner.Run{Target: l.GetTarget(), Incarnation: l.GetIncarnation()})
--- a/entry/internal/carrier/attempt.go
+++ b/entry/internal/carrier/attempt.go
@@ -248,7 +248,7 @@
 
 // clearSuspicion removes a request that succeeded from the suspects of all entry instances.
 func (c *Carrier) clearSuspicion(now time.Time, j *job) {
-	if c.Quarantine.Succeed(now, j.fingerprint) {
+	if c.Quarantine.RecordSuccess(now, j.fingerprint) {
 		c.Views.Report(&wire.Loss{Fingerprint: j.fingerprint[:], Success: true, Incarnation: rand.Uint64()})
 	}
 }
--- a/entry/internal/cli/routed.go
+++ b/entry/internal/cli/routed.go
@@ -97,7 +97,7 @@
 		var f quarantiner.Fingerprint
 		copy(f[:], l.GetFingerprint())
 		if l.GetSuccess() {
-			q.Succeed(now, f)
+			q.RecordSuccess(now, f)
 			continue
 		}
 		q.RecordLoss(now, f, quarantiner.Run{Target: l.GetTarget(), Incarnation: l.GetIncarnation()})
--- a/entry/internal/forwarder/attempt.go
+++ b/entry/internal/forwarder/attempt.go
@@ -258,7 +258,7 @@
 func (f *Forwarder) recordAnswer(now time.Time, j *job, d *admission, out result) {
 	out.target.Succeed()
 	d.recordSuccess(now, out.took)
-	if f.Quarantine.Succeed(now, j.fingerprint) {
+	if f.Quarantine.RecordSuccess(now, j.fingerprint) {
 		f.LossBroadcaster.BroadcastLoss(&wire.Loss{Fingerprint: j.fingerprint[:], Success: true})
 	}
 }
