--- a/core/quarantiner/quarantiner.go
+++ b/core/quarantiner/quarantiner.go
@@ -139,8 +139,8 @@
 	return ok && now.Sub(at) < memory
 }
 
-// Refused returns until when a request is refused; the zero time means it is not.
-func (q *Quarantiner) Refused(now time.Time, f Fingerprint) time.Time {
+// RefusedUntil returns until when a request is refused; the zero time means it is not.
+func (q *Quarantiner) RefusedUntil(now time.Time, f Fingerprint) time.Time {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	s, ok := q.cases[f]
--- a/core/quarantiner/quarantiner_test.go
+++ b/core/quarantiner/quarantiner_test.go
@@ -23,10 +23,10 @@
 	is.True(!q.Suspect(start, poison))
 	q.RecordLoss(start, poison, run("u1"))
 	is.True(q.Suspect(start, poison)) // no try elsewhere
-	is.True(q.Refused(start, poison).IsZero())
+	is.True(q.RefusedUntil(start, poison).IsZero())
 	q.RecordLoss(start, poison, run("u2"))
-	is.Equal(q.Refused(start, poison), start.Add(RefusalPeriod))
-	is.True(q.Refused(start.Add(RefusalPeriod), poison).IsZero()) // and it ends
+	is.Equal(q.RefusedUntil(start, poison), start.Add(RefusalPeriod))
+	is.True(q.RefusedUntil(start.Add(RefusalPeriod), poison).IsZero()) // and it ends
 }
 
 // A busy page is in flight whenever a target dies. Quarantined, it would be refused to everyone although
@@ -39,9 +39,9 @@
 		q.RecordLoss(start, innocent, run(name))
 		q.RecordLoss(start, poison, run(name))
 		is.True(!q.Suspect(start, innocent)) // may be tried elsewhere
-		is.True(q.Refused(start, innocent).IsZero())
+		is.True(q.RefusedUntil(start, innocent).IsZero())
 	}
-	is.True(!q.Refused(start, poison).IsZero())
+	is.True(!q.RefusedUntil(start, poison).IsZero())
 }
 
 func TestOneRunCountsOnce(t *testing.T) {
@@ -49,7 +49,7 @@
 	var q Quarantiner
 	is.True(q.RecordLoss(start, poison, run("u1")))
 	is.True(!q.RecordLoss(start, poison, run("u1"))) // told again by another instance
-	is.True(q.Refused(start, poison).IsZero())
+	is.True(q.RefusedUntil(start, poison).IsZero())
 }
 
 func TestOldLossesDoNotCount(t *testing.T) {
@@ -57,7 +57,7 @@
 	var q Quarantiner
 	q.RecordLoss(start, poison, run("u1"))
 	q.RecordLoss(start.Add(memory), poison, run("u2"))
-	is.True(q.Refused(start.Add(memory), poison).IsZero())
+	is.True(q.RefusedUntil(start.Add(memory), poison).IsZero())
 }
 
 func TestTableIsBounded(t *testing.T) {
--- a/entry/internal/carrier/carrier.go
+++ b/entry/internal/carrier/carrier.go
@@ -300,7 +300,7 @@
 	if out := c.prepare(j); out != nil {
 		return *out
 	}
-	if until := c.Quarantine.Refused(j.started, j.fingerprint); !until.IsZero() {
+	if until := c.Quarantine.RefusedUntil(j.started, j.fingerprint); !until.IsZero() {
 		return refuse(http.StatusServiceUnavailable, "quarantine", until)
 	}
 	if out := c.checkQuota(j); out != nil {
--- a/entry/internal/forwarder/job.go
+++ b/entry/internal/forwarder/job.go
@@ -197,7 +197,7 @@
 
 // checkLimits refuses requests that are known to crash targets, and requests above the entry's rate.
 func (f *Forwarder) checkLimits(now time.Time, j *job) *refuser.Refusal {
-	if until := f.Quarantine.Refused(now, j.fingerprint); !until.IsZero() {
+	if until := f.Quarantine.RefusedUntil(now, j.fingerprint); !until.IsZero() {
 		return refuse(http.StatusServiceUnavailable, "quarantine",
 			"this request broke targets that ran it", until)
 	}
