--- a/core/retrier/retrier.go
+++ b/core/retrier/retrier.go
@@ -21,8 +21,8 @@
 // New returns a full budget.
 func New() *Budget { return &Budget{saved: most} }
 
-// Succeed records a success.
-func (b *Budget) Succeed() {
+// RecordSuccess records a success.
+func (b *Budget) RecordSuccess() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.saved = min(most, b.saved+earn)
--- a/core/retrier/retrier_test.go
+++ b/core/retrier/retrier_test.go
@@ -40,7 +40,7 @@
 	}
 	is.Equal(retries, 10) // what a calm had saved up
 	for range 1000 {
-		b.Succeed()
+		b.RecordSuccess()
 		if b.Again(Attempt{Ending: Unrun, Replayable: true, Tries: 1}) {
 			retries++
 		}
--- a/entry/internal/forwarder/admission.go
+++ b/entry/internal/forwarder/admission.go
@@ -87,7 +87,7 @@
 
 // recordSuccess updates the response time, the concurrency limit and the retry budget.
 func (d *admission) recordSuccess(now time.Time, took time.Duration) {
-	d.budget.Succeed()
+	d.budget.RecordSuccess()
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.responseTime += (took - d.responseTime) / smoothing
--- a/standin/internal/experimenter/policies.go
+++ b/standin/internal/experimenter/policies.go
@@ -234,7 +234,7 @@
 	w.begin(in.own[u], c, func() {
 		u.Release()
 		u.Succeed()
-		in.budget.Succeed()
+		in.budget.RecordSuccess()
 		in.limit.Succeed(in.queue.Running() >= in.queue.Capacity())
 		w.answered(c)
 		o.finish(w, in, t)
