--- a/core/retrier/retrier.go
+++ b/core/retrier/retrier.go
@@ -67,8 +67,8 @@
 // MaxTries bounds the attempts of one request, the first included.
 const MaxTries = 3
 
-// Again decides about another attempt and pays for it.
-func (b *Budget) Again(a Attempt) bool {
+// AllowRetry decides about another attempt and pays for it.
+func (b *Budget) AllowRetry(a Attempt) bool {
 	if a.Ending == Answered || a.Tries >= MaxTries || !a.Replayable {
 		return false
 	}
--- a/core/retrier/retrier_test.go
+++ b/core/retrier/retrier_test.go
@@ -22,7 +22,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			is.New(t).Equal(New().Again(c.a), c.want)
+			is.New(t).Equal(New().AllowRetry(c.a), c.want)
 		})
 	}
 }
@@ -34,14 +34,14 @@
 	b := New()
 	retries := 0
 	for range 10_000 {
-		if b.Again(Attempt{Ending: Unrun, Replayable: true, Tries: 1}) {
+		if b.AllowRetry(Attempt{Ending: Unrun, Replayable: true, Tries: 1}) {
 			retries++
 		}
 	}
 	is.Equal(retries, 10) // what a calm had saved up
 	for range 1000 {
 		b.RecordSuccess()
-		if b.Again(Attempt{Ending: Unrun, Replayable: true, Tries: 1}) {
+		if b.AllowRetry(Attempt{Ending: Unrun, Replayable: true, Tries: 1}) {
 			retries++
 		}
 	}
--- a/entry/internal/forwarder/attempt.go
+++ b/entry/internal/forwarder/attempt.go
@@ -65,7 +65,7 @@
 		if !out.timedOut {
 			tried = append(tried, u)
 		}
-		again := j.ctx.Err() == nil && d.budget.Again(retrier.Attempt{
+		again := j.ctx.Err() == nil && d.budget.AllowRetry(retrier.Attempt{
 			Ending:     out.ending,
 			Idempotent: j.idempotent(),
 			Replayable: j.body.replayable(),
--- a/standin/internal/experimenter/policies.go
+++ b/standin/internal/experimenter/policies.go
@@ -243,7 +243,7 @@
 
 func (o *ours) again(w *world, in *instance, t *admitter.Ticket, c *call, tried []*balancer.Target) {
 	a := retrier.Attempt{Ending: retrier.Unrun, Replayable: true, Tries: c.tries}
-	if in.budget.Again(a) {
+	if in.budget.AllowRetry(a) {
 		w.result.Retries++
 		o.try(w, in, t, c, tried)
 		return
