--- a/core/budgeter/budgeter.go
+++ b/core/budgeter/budgeter.go
@@ -23,8 +23,8 @@
 	current int64
 }
 
-// Ask notes a request.
-func (b *Budget) Ask(now time.Time) {
+// RecordRequest notes a request.
+func (b *Budget) RecordRequest(now time.Time) {
 	b.advance(now)
 	b.asked[b.current%parts]++
 }
--- a/core/budgeter/budgeter_test.go
+++ b/core/budgeter/budgeter_test.go
@@ -19,7 +19,7 @@
 		for i := range budgets {
 			for range perTick {
 				if tick > 100 && tick < 400 {
-					budgets[i].Ask(now)
+					budgets[i].RecordRequest(now)
 					a++
 				}
 				if budgets[i].Spend(now, instances) {
--- a/entry/internal/carrier/gate.go
+++ b/entry/internal/carrier/gate.go
@@ -191,7 +191,7 @@
 func (g *serviceState) countRequest(now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.budget.Ask(now)
+	g.budget.RecordRequest(now)
 }
 
 // spendRetry charges one retry to the service's retry budget; false if the budget does not allow it.
