--- a/core/tuner/tuner.go
+++ b/core/tuner/tuner.go
@@ -23,8 +23,8 @@
 	shrinkAt time.Time
 }
 
-// Bound sets the range: share is this instance's even part of all slots, most is all of them.
-func (t *Tuner) Bound(share, most int) {
+// SetBounds sets the range: share is this instance's even part of all slots, most is all of them.
+func (t *Tuner) SetBounds(share, most int) {
 	t.low = scale
 	t.high = int64(max(1, most)) * scale
 	if t.limit == 0 {
--- a/core/tuner/tuner_test.go
+++ b/core/tuner/tuner_test.go
@@ -10,7 +10,7 @@
 func TestLimit(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var l Tuner
-	l.Bound(10, 12)
+	l.SetBounds(10, 12)
 	t.Run("starts with the share", func(t *testing.T) { is.New(t).Equal(l.Limit(), 10) })
 	t.Run("one burst of refusals counts once", func(t *testing.T) {
 		is := is.New(t)
--- a/entry/internal/forwarder/admission.go
+++ b/entry/internal/forwarder/admission.go
@@ -42,7 +42,7 @@
 	d.view = v
 	own := v.Pools[service].Own(now)
 	instances := max(1, v.Instances.Len())
-	d.limit.Bound(own, own+v.Pools[service].Borrowable(now)/instances)
+	d.limit.SetBounds(own, own+v.Pools[service].Borrowable(now)/instances)
 	d.resize(now)
 }
 
--- a/standin/internal/experimenter/policies.go
+++ b/standin/internal/experimenter/policies.go
@@ -113,7 +113,7 @@
 	}
 	in.pool = &balancer.Pool{Tiers: []balancer.Tier{tier}}
 	own := in.pool.Own(w.now)
-	in.limit.Bound(own, own+in.pool.Borrowable(w.now)/int(w.Entries))
+	in.limit.SetBounds(own, own+in.pool.Borrowable(w.now)/int(w.Entries))
 }
 
 // partners lists the entry instances.
