--- a/core/tuner/tuner.go
+++ b/core/tuner/tuner.go
@@ -36,8 +36,8 @@
 // Limit returns the limit in force.
 func (t *Tuner) Limit() int { return int(t.limit / scale) }
 
-// Succeed grows the limit by about one for each time that a full set of requests went well.
-func (t *Tuner) Succeed(full bool) {
+// RecordSuccess grows the limit by about one for each time that a full set of requests went well.
+func (t *Tuner) RecordSuccess(full bool) {
 	if !full || t.limit == 0 {
 		return
 	}
--- a/core/tuner/tuner_test.go
+++ b/core/tuner/tuner_test.go
@@ -22,11 +22,11 @@
 	t.Run("grows only while full, up to the most", func(t *testing.T) {
 		is := is.New(t)
 		for range 1000 {
-			l.Succeed(false)
+			l.RecordSuccess(false)
 		}
 		is.Equal(l.Limit(), 8)
 		for range 1000 {
-			l.Succeed(true)
+			l.RecordSuccess(true)
 		}
 		is.Equal(l.Limit(), 12)
 	})
--- a/entry/internal/forwarder/admission.go
+++ b/entry/internal/forwarder/admission.go
@@ -91,7 +91,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.responseTime += (took - d.responseTime) / smoothing
-	d.limit.Succeed(d.queue.Running() >= d.queue.Capacity())
+	d.limit.RecordSuccess(d.queue.Running() >= d.queue.Capacity())
 	d.resize(now)
 }
 
--- a/standin/internal/experimenter/policies.go
+++ b/standin/internal/experimenter/policies.go
@@ -235,7 +235,7 @@
 		u.Release()
 		u.Succeed()
 		in.budget.RecordSuccess()
-		in.limit.Succeed(in.queue.Running() >= in.queue.Capacity())
+		in.limit.RecordSuccess(in.queue.Running() >= in.queue.Capacity())
 		w.answered(c)
 		o.finish(w, in, t)
 	})
