--- a/core/tuner/tuner.go
+++ b/core/tuner/tuner.go
@@ -44,8 +44,8 @@
 	t.limit = min(t.high, t.limit+scale*scale/t.limit)
 }
 
-// Shed shrinks the limit after a target refused work.
-func (t *Tuner) Shed(now time.Time) {
+// RecordShed shrinks the limit after a target refused work.
+func (t *Tuner) RecordShed(now time.Time) {
 	if now.Before(t.shrinkAt) {
 		return
 	}
--- a/core/tuner/tuner_test.go
+++ b/core/tuner/tuner_test.go
@@ -15,7 +15,7 @@
 	t.Run("one burst of refusals counts once", func(t *testing.T) {
 		is := is.New(t)
 		for range 50 {
-			l.Shed(now)
+			l.RecordShed(now)
 		}
 		is.Equal(l.Limit(), 8)
 	})
@@ -33,7 +33,7 @@
 	t.Run("never below one", func(t *testing.T) {
 		is := is.New(t)
 		for i := range 100 {
-			l.Shed(now.Add(time.Duration(i) * time.Second))
+			l.RecordShed(now.Add(time.Duration(i) * time.Second))
 		}
 		is.Equal(l.Limit(), 1)
 	})
--- a/entry/internal/forwarder/admission.go
+++ b/entry/internal/forwarder/admission.go
@@ -99,7 +99,7 @@
 func (d *admission) recordShed(now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.limit.Shed(now)
+	d.limit.RecordShed(now)
 	d.resize(now)
 }
 
--- a/standin/internal/experimenter/policies.go
+++ b/standin/internal/experimenter/policies.go
@@ -220,7 +220,7 @@
 		case h.busy >= int(w.Slots):
 			w.result.Shed++
 			u.Release()
-			in.limit.Shed(w.now)
+			in.limit.RecordShed(w.now)
 			o.again(w, in, t, c, append(tried, u))
 		default:
 			o.run(w, in, t, c, u)
