--- a/core/messenger/hops.go
+++ b/core/messenger/hops.go
@@ -12,8 +12,8 @@
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// RemoveHop takes out what concerns one connection only, the headers that Connection names included.
-func RemoveHop(h http.Header) {
+// RemoveHopHeaders takes out what concerns one connection only, the headers that Connection names included.
+func RemoveHopHeaders(h http.Header) {
 	for _, list := range h["Connection"] {
 		for _, name := range strings.Split(list, ",") {
 			h.Del(textproto.TrimString(name))
--- a/entry/internal/carrier/answer.go
+++ b/entry/internal/carrier/answer.go
@@ -44,7 +44,7 @@
 
 // writeAnswer forwards a target's answer. The body is complete, so Content-Length is set from its length.
 func writeAnswer(w http.ResponseWriter, j *job, a *pooler.Answer) {
-	messenger.RemoveHop(a.Header)
+	messenger.RemoveHopHeaders(a.Header)
 	a.Header.Del("Content-Length")
 	header := w.Header()
 	for name, values := range a.Header {
--- a/entry/internal/carrier/attempt.go
+++ b/entry/internal/carrier/attempt.go
@@ -196,7 +196,7 @@
 
 func (c *Carrier) outgoing(j *job, t *placer.Target, now time.Time) *pooler.Request {
 	header := j.request.Header.Clone()
-	messenger.RemoveHop(header)
+	messenger.RemoveHopHeaders(header)
 	header.Del("Content-Length")
 	c.Codec.Address(header, messenger.Addressee{
 		Target: t.Name, Organisation: j.organisation.GetName(), Deadline: j.deadline,
--- a/entry/internal/forwarder/once.go
+++ b/entry/internal/forwarder/once.go
@@ -115,7 +115,7 @@
 
 func storedHeader(h http.Header) []*wire.Field {
 	kept := h.Clone()
-	messenger.RemoveHop(kept)
+	messenger.RemoveHopHeaders(kept)
 	var out []*wire.Field
 	for name, values := range kept {
 		for _, v := range values {
--- a/entry/internal/forwarder/relay.go
+++ b/entry/internal/forwarder/relay.go
@@ -29,7 +29,7 @@
 	out.Body = j.body.open()
 	out.ContentLength = j.body.size
 	out.TransferEncoding = nil
-	messenger.RemoveHop(out.Header)
+	messenger.RemoveHopHeaders(out.Header)
 	if !j.deadline.IsZero() {
 		out.Header.Set(refuser.HeaderDeadline, j.deadline.UTC().Format(time.RFC3339Nano))
 	}
@@ -64,7 +64,7 @@
 }
 
 func writeHead(w http.ResponseWriter, j *job, response *http.Response) {
-	messenger.RemoveHop(response.Header)
+	messenger.RemoveHopHeaders(response.Header)
 	header := w.Header()
 	for name, values := range response.Header {
 		header[name] = values
