--- a/core/messenger/messenger.go
+++ b/core/messenger/messenger.go
@@ -20,8 +20,8 @@
 	Secret string
 }
 
-// Addressee is whom a request is passed on to.
-type Addressee struct {
+// Destination is whom a request is passed on to.
+type Destination struct {
 	// Target is the one that may run it.
 	Target string
 	// Organisation is the caller's, empty if it is not known.
@@ -71,7 +71,7 @@
 	// Call reads a caller's request.
 	Call(r *http.Request, now time.Time) (Call, error)
 	// Address writes into a request's header whom it is for, and takes out what the target must not see.
-	Address(h http.Header, to Addressee, now time.Time)
+	Address(h http.Header, to Destination, now time.Time)
 	// Reply reads the head of a target's answer.
 	Reply(status int, h http.Header) Reply
 }
