--- a/core/messenger/messenger.go
+++ b/core/messenger/messenger.go
@@ -66,8 +66,8 @@
 	Load *Load
 }
 
-// Face spells calls and replies on one interface.
-type Face interface {
+// Codec spells calls and replies on one interface.
+type Codec interface {
 	// Call reads a caller's request.
 	Call(r *http.Request, now time.Time) (Call, error)
 	// Address writes into a request's header whom it is for, and takes out what the target must not see.
--- a/entry/internal/carrier/carrier.go
+++ b/entry/internal/carrier/carrier.go
@@ -75,7 +75,7 @@
 	Self       string
 	Region     string
 	Zone       string
-	Codec      messenger.Face
+	Codec      messenger.Codec
 	Views      Views
 	Sender     Sender
 	Locator    Locator
