--- a/core/messenger/messenger.go
+++ b/core/messenger/messenger.go
@@ -70,8 +70,8 @@
 type Codec interface {
 	// Call reads a caller's request.
 	Call(r *http.Request, now time.Time) (Call, error)
-	// Address writes into a request's header whom it is for, and takes out what the target must not see.
-	Address(h http.Header, to Destination, now time.Time)
+	// SetTargetHeaders writes into a request's header whom it is for, and takes out what the target must not see.
+	SetTargetHeaders(h http.Header, to Destination, now time.Time)
 	// Reply reads the head of a target's answer.
 	Reply(status int, h http.Header) Reply
 }
--- a/entry/internal/carrier/attempt.go
+++ b/entry/internal/carrier/attempt.go
@@ -198,7 +198,7 @@
 	header := j.request.Header.Clone()
 	messenger.RemoveHopHeaders(header)
 	header.Del("Content-Length")
-	c.Codec.Address(header, messenger.Destination{
+	c.Codec.SetTargetHeaders(header, messenger.Destination{
 		Target: t.Name, Organisation: j.organisation.GetName(), Deadline: j.deadline,
 	}, now)
 	return &pooler.Request{
