--- a/core/listener/listener.go
+++ b/core/listener/listener.go
@@ -58,7 +58,7 @@
 		ConnContext:       withConn,
 	}
 	if l.Keys != nil {
-		config, err := l.Keys.Server()
+		config, err := l.Keys.ServerConfig()
 		if err != nil {
 			return err
 		}
--- a/core/securer/securer.go
+++ b/core/securer/securer.go
@@ -80,8 +80,8 @@
 	return pool, nil
 }
 
-// Server returns a listener's configuration, or nil without TLS.
-func (k *Keys) Server() (*tls.Config, error) {
+// ServerConfig returns a listener's configuration, or nil without TLS.
+func (k *Keys) ServerConfig() (*tls.Config, error) {
 	if !k.Files.Enabled() {
 		return nil, nil
 	}
--- a/core/securer/securer_test.go
+++ b/core/securer/securer_test.go
@@ -49,7 +49,7 @@
 func serve(t *testing.T, k *Keys) string {
 	t.Helper()
 	is := is.New(t)
-	config, err := k.Server()
+	config, err := k.ServerConfig()
 	is.NoErr(err)
 	l, err := tls.Listen("tcp", "127.0.0.1:0", config)
 	is.NoErr(err)
