--- a/core/dialer/dialer.go
+++ b/core/dialer/dialer.go
@@ -52,7 +52,7 @@
 	}
 	protocols.SetHTTP1(d.Plain)
 	if d.Keys != nil && d.Keys.Files.Enabled() {
-		config, err := d.Keys.Client()
+		config, err := d.Keys.ClientConfig()
 		if err != nil {
 			return nil, err
 		}
--- a/core/securer/securer.go
+++ b/core/securer/securer.go
@@ -105,8 +105,8 @@
 	return config, nil
 }
 
-// Client returns the configuration for calls to other processes, or nil without TLS.
-func (k *Keys) Client() (*tls.Config, error) {
+// ClientConfig returns the configuration for calls to other processes, or nil without TLS.
+func (k *Keys) ClientConfig() (*tls.Config, error) {
 	if !k.Files.Enabled() {
 		return nil, nil
 	}
--- a/core/securer/securer_test.go
+++ b/core/securer/securer_test.go
@@ -63,7 +63,7 @@
 func serial(t *testing.T, address string, k *Keys) int64 {
 	t.Helper()
 	is := is.New(t)
-	config, err := k.Client()
+	config, err := k.ClientConfig()
 	is.NoErr(err)
 	conn, err := tls.Dial("tcp", address, config)
 	is.NoErr(err)
