--- a/controller/internal/server/server.go
+++ b/controller/internal/server/server.go
@@ -74,7 +74,7 @@
 	mux := http.NewServeMux()
 	options := connect.WithHandlerOptions(
 		connect.WithReadMaxBytes(maxMessage),
-		connect.WithCompressMinBytes(dialer.CompressFrom),
+		connect.WithCompressMinBytes(dialer.MinCompressedSize),
 	)
 	mux.Handle(wireconnect.NewReplicasHandler(s, options))
 	mux.Handle(wireconnect.NewControlHandler(s, options))
--- a/core/dialer/dialer.go
+++ b/core/dialer/dialer.go
@@ -23,9 +23,9 @@
 	probeAnswer = 2 * time.Second
 )
 
-// CompressFrom is from how many bytes on an answer between processes is compressed. Below it, preparing a compressor
+// MinCompressedSize is from how many bytes on an answer between processes is compressed. Below it, preparing a compressor
 // costs more time than the answer itself.
-const CompressFrom = 4 << 10
+const MinCompressedSize = 4 << 10
 
 // Dialer makes clients that share one pool. Set Keys before use.
 type Dialer struct {
--- a/entry/internal/locator/locator.go
+++ b/entry/internal/locator/locator.go
@@ -219,6 +219,6 @@
 // Handler returns the handler for calls of other instances.
 func (l *Locator) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.Handle(wireconnect.NewPlacementHandler(l, connect.WithCompressMinBytes(dialer.CompressFrom)))
+	mux.Handle(wireconnect.NewPlacementHandler(l, connect.WithCompressMinBytes(dialer.MinCompressedSize)))
 	return mux
 }
