--- a/controller/internal/cli/cli.go
+++ b/controller/internal/cli/cli.go
@@ -160,7 +160,7 @@
 		Fatal:  fatal,
 	}
 	exchange := &exchanger.Exchanger{
-		Self: settings.Name, Region: settings.Region, Mind: mind, Dialer: &dialer.Dialer{Keys: controlKeys, Plain: true},
+		Self: settings.Name, Region: settings.Region, Mind: mind, Dialer: &dialer.Dialer{Keys: controlKeys, HTTP1Only: true},
 		Shelf: &storer.Hosts{Folder: settings.Folder}, Logger: logs,
 	}
 	mind.OnRoutingChange = exchange.Wake
--- a/controller/internal/exchanger/exchanger_test.go
+++ b/controller/internal/exchanger/exchanger_test.go
@@ -32,7 +32,7 @@
 
 func begin(t *testing.T, voters ...string) *Exchanger {
 	t.Helper()
-	x := &Exchanger{Self: "c1", Mind: mind{voters}, Dialer: &dialer.Dialer{Plain: true}, Logger: log.NewNopLogger()}
+	x := &Exchanger{Self: "c1", Mind: mind{voters}, Dialer: &dialer.Dialer{HTTP1Only: true}, Logger: log.NewNopLogger()}
 	is.New(t).NoErr(x.Start(context.Background(), nil))
 	t.Cleanup(func() { is.New(t).NoErr(x.Stop(context.Background())) })
 	return x
--- a/core/dialer/dialer.go
+++ b/core/dialer/dialer.go
@@ -30,10 +30,10 @@
 // Dialer makes clients that share one pool. Set Keys before use.
 type Dialer struct {
 	Keys *securer.Keys
-	// Plain makes one connection carry one call at a time, by HTTP/1.1. A call that gets no answer in time then
+	// HTTP1Only makes one connection carry one call at a time, by HTTP/1.1. A call that gets no answer in time then
 	// closes its connection, and the next one opens another: a connection that something in between forgot costs
 	// one call, where a shared one would swallow all until its probe fails.
-	Plain bool
+	HTTP1Only bool
 }
 
 // Client returns a client for control calls; the caller bounds each call by its context.
@@ -50,16 +50,16 @@
 			PingTimeout:     probeAnswer,
 		},
 	}
-	protocols.SetHTTP1(d.Plain)
+	protocols.SetHTTP1(d.HTTP1Only)
 	if d.Keys != nil && d.Keys.Files.Enabled() {
 		config, err := d.Keys.ClientConfig()
 		if err != nil {
 			return nil, err
 		}
 		transport.TLSClientConfig = config
-		protocols.SetHTTP2(!d.Plain)
+		protocols.SetHTTP2(!d.HTTP1Only)
 	} else {
-		protocols.SetUnencryptedHTTP2(!d.Plain)
+		protocols.SetUnencryptedHTTP2(!d.HTTP1Only)
 	}
 	return &http.Client{Transport: transport}, nil
 }
--- a/core/dialer/dialer_test.go
+++ b/core/dialer/dialer_test.go
@@ -34,7 +34,7 @@
 	}
 	server.Start()
 	defer server.Close()
-	client, err := (&Dialer{Plain: true}).Client()
+	client, err := (&Dialer{HTTP1Only: true}).Client()
 	is.NoErr(err)
 	call := func(body string) error {
 		ctx, cancel := context.WithTimeout(t.Context(), settle)
--- a/entry/internal/cli/routed.go
+++ b/entry/internal/cli/routed.go
@@ -62,7 +62,7 @@
 			Name: settings.Name, Caller: settings.Caller.String(), Peer: settings.Peer.String(), Region: settings.Region, Zone: settings.Zone,
 		},
 		Seeds:  settings.Seeds,
-		Dialer: &dialer.Dialer{Plain: true},
+		Dialer: &dialer.Dialer{HTTP1Only: true},
 		Logger: p.logger,
 		Losses: func(reports []*wire.Loss) { takeLosses(quarantine, reports) },
 	}
@@ -71,11 +71,11 @@
 		Sender: &pooler.Pooler{}, Quarantine: quarantine, Logger: p.logger, Metrics: carrier.NewMetrics(p.registry),
 	}
 	p.locator = &locator.Locator{
-		Self: settings.Name, Dialer: &dialer.Dialer{Plain: true}, Assigner: p.carrier, Logger: p.logger,
+		Self: settings.Name, Dialer: &dialer.Dialer{HTTP1Only: true}, Assigner: p.carrier, Logger: p.logger,
 	}
 	p.asker = &enforcer.Enforcer{
 		Self:        &wire.QuotaHolder{Name: settings.Name, Incarnation: rand.Uint64()},
-		Controllers: p.watcher, Peers: p.locator, Dialer: &dialer.Dialer{Plain: true}, Logger: p.logger,
+		Controllers: p.watcher, Peers: p.locator, Dialer: &dialer.Dialer{HTTP1Only: true}, Logger: p.logger,
 	}
 	p.locator.Spender = p.asker
 	p.carrier.Locator, p.carrier.Quotas = p.locator, p.asker
--- a/entry/internal/enforcer/enforcer_test.go
+++ b/entry/internal/enforcer/enforcer_test.go
@@ -117,7 +117,7 @@
 	c.allotter.Update(plan(), listed, []string{"acme"})
 	for i, name := range peers {
 		a := &Enforcer{
-			Self: listed[i], Controllers: r, Peers: r, Dialer: &dialer.Dialer{Plain: true}, Logger: log.NewNopLogger(),
+			Self: listed[i], Controllers: r, Peers: r, Dialer: &dialer.Dialer{HTTP1Only: true}, Logger: log.NewNopLogger(),
 		}
 		r.enforcers[name] = a
 		c.allotter.MarkNew(listed[i])
--- a/entry/internal/locator/locator_test.go
+++ b/entry/internal/locator/locator_test.go
@@ -37,7 +37,7 @@
 
 func startLocator(t *testing.T, name string, b *fakeAssigner) *Locator {
 	t.Helper()
-	l := &Locator{Self: name, Dialer: &dialer.Dialer{Plain: true}, Assigner: b, Logger: log.NewNopLogger()}
+	l := &Locator{Self: name, Dialer: &dialer.Dialer{HTTP1Only: true}, Assigner: b, Logger: log.NewNopLogger()}
 	is.New(t).NoErr(l.Start(context.Background(), nil))
 	t.Cleanup(func() { is.New(t).NoErr(l.Stop(context.Background())) })
 	return l
--- a/entry/internal/watcher/watcher_test.go
+++ b/entry/internal/watcher/watcher_test.go
@@ -86,7 +86,7 @@
 func begin(t *testing.T, seeds ...netip.AddrPort) *Watcher {
 	t.Helper()
 	w := &Watcher{
-		Node: &wire.Node{Name: "e1", Region: "r", Zone: "z"}, Seeds: seeds, Dialer: &dialer.Dialer{Plain: true},
+		Node: &wire.Node{Name: "e1", Region: "r", Zone: "z"}, Seeds: seeds, Dialer: &dialer.Dialer{HTTP1Only: true},
 		Logger: log.NewNopLogger(), Changed: func(*View) {}, Losses: func([]*wire.Loss) {},
 	}
 	is.New(t).NoErr(w.Start(context.Background(), nil))
@@ -295,7 +295,7 @@
 	})
 	hosts, loads := make(chan []*wire.Host, 100), make(chan []gauger.Reading, 100)
 	w := &Watcher{
-		Node: &wire.Node{Name: "e1", Region: "r"}, Seeds: []netip.AddrPort{address}, Dialer: &dialer.Dialer{Plain: true},
+		Node: &wire.Node{Name: "e1", Region: "r"}, Seeds: []netip.AddrPort{address}, Dialer: &dialer.Dialer{HTTP1Only: true},
 		Logger: log.NewNopLogger(), Changed: func(*View) {}, Hosts: func(list []*wire.Host) { hosts <- list },
 		Loads: func(list []gauger.Reading) { loads <- list },
 	}
