--- a/core/prober/prober.go
+++ b/core/prober/prober.go
@@ -17,9 +17,9 @@
 	return count, ok && failure == nil
 }
 
-// Quiet reports whether a connection is still open and has nothing to read. A target that closed an idle connection would
+// Idle reports whether a connection is still open and has nothing to read. A target that closed an idle connection would
 // reset the next request; bytes that nobody asked for would be taken for its answer.
-func Quiet(c net.Conn) bool {
+func Idle(c net.Conn) bool {
 	_, err := peek(c)
 	return errors.Is(err, unix.EAGAIN)
 }
--- a/core/prober/prober_test.go
+++ b/core/prober/prober_test.go
@@ -45,7 +45,7 @@
 			near, far := pair(t)
 			c.end(far)
 			time.Sleep(settle)
-			is.Equal(Quiet(near), c.quiet)
+			is.Equal(Idle(near), c.quiet)
 			is.Equal(Closed(near), c.closed)
 		})
 	}
@@ -57,6 +57,6 @@
 	defer func() { _, _ = near.Close(), far.Close() }()
 	_, ok := Unacknowledged(near)
 	is.True(!ok)
-	is.True(!Quiet(near))
+	is.True(!Idle(near))
 	is.True(!Closed(near))
 }
--- a/entry/internal/pooler/pooler.go
+++ b/entry/internal/pooler/pooler.go
@@ -120,7 +120,7 @@
 		if c == nil {
 			break
 		}
-		if time.Now().Before(c.idleUntil) && prober.Quiet(c.Conn) {
+		if time.Now().Before(c.idleUntil) && prober.Idle(c.Conn) {
 			return c, nil
 		}
 		_ = c.Close()
