--- a/controller/internal/changer/changer.go
+++ b/controller/internal/changer/changer.go
@@ -75,7 +75,7 @@
 }
 
 func (c *Changer) run(ctx context.Context, what string, command *wire.Command) (*wire.Result, error) {
-	if listener.Left(ctx) {
+	if listener.CallerDisconnected(ctx) {
 		return nil, c.unwanted(what)
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
@@ -112,7 +112,7 @@
 func (c *Changer) Submit(
 	ctx context.Context, r *connect.Request[wire.SubmitRequest],
 ) (*connect.Response[wire.SubmitResponse], error) {
-	if listener.Left(ctx) {
+	if listener.CallerDisconnected(ctx) {
 		return nil, connect.NewError(connect.CodeCanceled, c.unwanted("submit"))
 	}
 	result, err := c.Mind.Propose(ctx, r.Msg.GetCommand())
--- a/core/listener/listener.go
+++ b/core/listener/listener.go
@@ -93,9 +93,9 @@
 	return context.WithValue(ctx, connKey{}, c)
 }
 
-// Left reports whether the caller of a request has closed its connection. The server learns of it a moment after the
+// CallerDisconnected reports whether the caller of a request has closed its connection. The server learns of it a moment after the
 // request itself: of one that lay in the kernel while this process was suspended, both come at once.
-func Left(ctx context.Context) bool {
+func CallerDisconnected(ctx context.Context) bool {
 	if ctx.Err() != nil {
 		return true
 	}
