--- a/controller/internal/changer/changer_test.go
+++ b/controller/internal/changer/changer_test.go
@@ -40,7 +40,7 @@
 			is.NoErr(err)
 			address := netip.MustParseAddrPort(socket.Addr().String())
 			is.NoErr(socket.Close())
-			l := &listener.Listener{Title: "operator", Address: address, Logger: log.NewNopLogger()}
+			l := &listener.Listener{ServiceName: "operator", Address: address, Logger: log.NewNopLogger()}
 			l.Handler = http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 				<-suspended
 				_ = c.Evacuate(r.Context(), "z", true)
--- a/controller/internal/cli/cli.go
+++ b/controller/internal/cli/cli.go
@@ -178,14 +178,14 @@
 		mind,
 		exchange,
 		&listener.Listener{
-			Title: "control", Address: settings.Control, Handler: handlers.Control(), Keys: controlKeys, Logger: logs,
+			ServiceName: "control", Address: settings.Control, Handler: handlers.Control(), Keys: controlKeys, Logger: logs,
 		},
 		&listener.Listener{
-			Title:   "operator",
-			Address: settings.Operator,
-			Handler: operator,
-			Keys:    &securer.Keys{Files: settings.OperatorKeys},
-			Logger:  logs,
+			ServiceName: "operator",
+			Address:     settings.Operator,
+			Handler:     operator,
+			Keys:        &securer.Keys{Files: settings.OperatorKeys},
+			Logger:      logs,
 		},
 	}
 	k.Services = append(k.Services, faces(settings, &translator.Operator{
@@ -200,7 +200,7 @@
 	var out []kernel.Service
 	for title, address := range map[string]netip.AddrPort{"callers": settings.Callers, "directory": settings.Directory} {
 		if address.IsValid() {
-			out = append(out, &listener.Listener{Title: title, Address: address, Handler: face, Logger: face.Logger})
+			out = append(out, &listener.Listener{ServiceName: title, Address: address, Handler: face, Logger: face.Logger})
 		}
 	}
 	return out
--- a/core/listener/listener.go
+++ b/core/listener/listener.go
@@ -30,18 +30,18 @@
 
 // Listener is one HTTP server. Set the exported fields before Start.
 type Listener struct {
-	Title   string
-	Address netip.AddrPort
-	Handler http.Handler
-	Keys    *securer.Keys
-	Logger  log.Logger
+	ServiceName string
+	Address     netip.AddrPort
+	Handler     http.Handler
+	Keys        *securer.Keys
+	Logger      log.Logger
 
 	server  *http.Server
 	serving atomic.Bool
 }
 
 // Name implements kernel.Service.
-func (l *Listener) Name() string { return l.Title }
+func (l *Listener) Name() string { return l.ServiceName }
 
 // Start opens the address and serves in a goroutine.
 func (l *Listener) Start(context.Context, kernel.Finder) error {
@@ -82,7 +82,7 @@
 		err = l.server.Serve(socket)
 	}
 	if !errors.Is(err, http.ErrServerClosed) {
-		_ = level.Error(l.Logger).Log("msg", "listener failed", "service", l.Title, "err", err)
+		_ = level.Error(l.Logger).Log("msg", "listener failed", "service", l.ServiceName, "err", err)
 	}
 }
 
@@ -119,7 +119,7 @@
 	if l.serving.Load() {
 		return nil
 	}
-	return &ClosedError{Listener: l.Title}
+	return &ClosedError{Listener: l.ServiceName}
 }
 
 // ClosedError says that a listener does not serve.
--- a/entry/internal/cli/cli.go
+++ b/entry/internal/cli/cli.go
@@ -182,7 +182,7 @@
 }
 
 func (p *program) listen(title string, handler http.Handler) *listener.Listener {
-	l := &listener.Listener{Title: title, Handler: handler, Logger: p.logger}
+	l := &listener.Listener{ServiceName: title, Handler: handler, Logger: p.logger}
 	switch title {
 	case "peer":
 		l.Address, l.Keys = p.settings.Peer, p.control
--- a/entry/internal/cli/routed.go
+++ b/entry/internal/cli/routed.go
@@ -127,14 +127,14 @@
 		p.locator,
 		p.asker,
 		p.watcher,
-		&listener.Listener{Title: "operator", Address: s.Operator, Handler: operator, Logger: p.logger},
-		&listener.Listener{Title: "caller", Address: s.Caller, Handler: p.carrier, Logger: p.logger},
-		&listener.Listener{Title: "ready", Address: s.Ready, Handler: translator.Ready{Check: p.ready}, Logger: p.logger},
+		&listener.Listener{ServiceName: "operator", Address: s.Operator, Handler: operator, Logger: p.logger},
+		&listener.Listener{ServiceName: "caller", Address: s.Caller, Handler: p.carrier, Logger: p.logger},
+		&listener.Listener{ServiceName: "ready", Address: s.Ready, Handler: translator.Ready{Check: p.ready}, Logger: p.logger},
 		p.leaver,
 	}
 	if s.Peer.IsValid() {
 		k.Services = slices.Insert(k.Services, 1, kernel.Service(&listener.Listener{
-			Title: "peer", Address: s.Peer, Handler: p.locator.Handler(), Logger: p.logger,
+			ServiceName: "peer", Address: s.Peer, Handler: p.locator.Handler(), Logger: p.logger,
 		}))
 	}
 	return k
