--- a/controller/internal/cli/cli.go
+++ b/controller/internal/cli/cli.go
@@ -170,7 +170,7 @@
 		Mind: mind, Token: settings.Token, Exchanger: exchange, Changer: change, Divider: divide,
 	}
 	operator := handlers.Operator()
-	k := &kernel.Kernel{Logger: logs, Patience: settings.Patience, Fatal: fatal}
+	k := &kernel.Kernel{Logger: logs, StopTimeout: settings.Patience, Fatal: fatal}
 	registry.MustRegister(&server.Collector{Summary: mind.Summary})
 	reporter.Mount(operator, registry, k)
 	k.Services = []kernel.Service{
--- a/core/kernel/kernel.go
+++ b/core/kernel/kernel.go
@@ -33,8 +33,8 @@
 type Kernel struct {
 	Logger   log.Logger
 	Services []Service
-	// Patience bounds how long all services together may take to stop.
-	Patience time.Duration
+	// StopTimeout bounds how long all services together may take to stop.
+	StopTimeout time.Duration
 	// Fatal receives the error of a service that can't go on; the program then stops.
 	Fatal chan error
 
@@ -82,7 +82,7 @@
 }
 
 func (k *Kernel) stop() error {
-	ctx, cancel := context.WithTimeout(context.Background(), k.Patience)
+	ctx, cancel := context.WithTimeout(context.Background(), k.StopTimeout)
 	defer cancel()
 	var all error
 	for i := len(k.started) - 1; i >= 0; i-- {
--- a/entry/internal/cli/cli.go
+++ b/entry/internal/cli/cli.go
@@ -151,7 +151,7 @@
 
 // kernel lists the services in the order of their start; they stop in reverse.
 func (p *program) kernel() *kernel.Kernel {
-	k := &kernel.Kernel{Logger: p.logger, Patience: p.settings.Patience, Fatal: make(chan error, 1)}
+	k := &kernel.Kernel{Logger: p.logger, StopTimeout: p.settings.Patience, Fatal: make(chan error, 1)}
 	operator := http.NewServeMux()
 	reporter.Mount(operator, p.registry, k)
 	k.Services = []kernel.Service{
--- a/entry/internal/cli/routed.go
+++ b/entry/internal/cli/routed.go
@@ -117,7 +117,7 @@
 
 // kernel lists the services in the order of their start; they stop in reverse.
 func (p *routed) kernel() *kernel.Kernel {
-	k := &kernel.Kernel{Logger: p.logger, Patience: p.settings.Patience, Fatal: make(chan error, 1)}
+	k := &kernel.Kernel{Logger: p.logger, StopTimeout: p.settings.Patience, Fatal: make(chan error, 1)}
 	operator := http.NewServeMux()
 	reporter.Mount(operator, p.registry, k)
 	s := p.settings
