--- a/controller/internal/config/config.go
+++ b/controller/internal/config/config.go
@@ -181,7 +181,7 @@
 		}
 		c.Peers[address.Addr().String()] = netip.AddrPortFrom(address.Addr(), c.Control.Port())
 	}
-	c.Found = d.Flag(s, "found", false)
+	c.Found = d.Bool(s, "found", false)
 	c.Seats = int(d.Number(s, "seats", defaultSeats, 1, maxControllers))
 	if c.Control.IsValid() {
 		c.Name = c.Control.Addr().String()
--- a/core/parser/values.go
+++ b/core/parser/values.go
@@ -115,8 +115,8 @@
 	return value
 }
 
-// Flag reads yes or no.
-func (d *Document) Flag(s *Section, key string, fallback bool) bool {
+// Bool reads yes or no.
+func (d *Document) Bool(s *Section, key string, fallback bool) bool {
 	s.read[key] = true
 	text, ok := s.keys[key]
 	if !ok {
