--- a/controller/internal/config/config.go
+++ b/controller/internal/config/config.go
@@ -136,8 +136,8 @@
 	case "quota":
 		c.Quotas = quoter.Tolerance{
 			Window:  d.Duration(s, "window", defaultWindow, minWindow, time.Minute),
-			Overage: d.Real(s, "overage", 0, 0, 1),
-			Slack:   d.Real(s, "slack", 0, 0, maxSlack),
+			Overage: d.Float(s, "overage", 0, 0, 1),
+			Slack:   d.Float(s, "slack", 0, 0, maxSlack),
 		}
 	case "operator":
 		c.TokenFile = d.Optional(s, "token")
--- a/core/parser/values.go
+++ b/core/parser/values.go
@@ -83,8 +83,8 @@
 	return "a whole number from " + strconv.FormatInt(low, decimal) + " to " + strconv.FormatInt(high, decimal)
 }
 
-// Real reads a number between low and high.
-func (d *Document) Real(s *Section, key string, fallback, low, high float64) float64 {
+// Float reads a number between low and high.
+func (d *Document) Float(s *Section, key string, fallback, low, high float64) float64 {
 	s.read[key] = true
 	text, ok := s.keys[key]
 	if !ok {
