--- a/core/granter/granter.go
+++ b/core/granter/granter.go
@@ -57,7 +57,7 @@
 // grace returns how long a grant can be in effect after the answer that contains it: the lease, the drift of the
 // clocks, and the window over which a holder's use is counted.
 func (g *Granter) grace() time.Duration {
-	return g.Lease + g.Lease/driftDivisor + limiter.DefaultLength
+	return g.Lease + g.Lease/driftDivisor + limiter.DefaultWindow
 }
 
 // Renew answers one request of a holder. It returns a SequenceError for a request older than one already answered.
--- a/core/granter/schedule_test.go
+++ b/core/granter/schedule_test.go
@@ -183,7 +183,7 @@
 
 // check returns an error if the uses of the last second or the shares in force exceed the cap.
 func (s *simulation) check() error {
-	for len(s.uses) > 0 && s.now.Sub(s.uses[0]) >= limiter.DefaultLength {
+	for len(s.uses) > 0 && s.now.Sub(s.uses[0]) >= limiter.DefaultWindow {
 		s.uses = s.uses[1:]
 	}
 	if len(s.uses) > testCap {
--- a/core/limiter/window.go
+++ b/core/limiter/window.go
@@ -4,11 +4,11 @@
 import "time"
 
 const (
-	// DefaultLength is the window in which use never passes the limit, where none is set.
-	DefaultLength = time.Second
+	// DefaultWindow is the window in which use never passes the limit, where none is set.
+	DefaultWindow = time.Second
 
 	buckets = 50
-	width   = DefaultLength / buckets
+	width   = DefaultWindow / buckets
 )
 
 // Window counts use. At every instant the use of its span is at most the largest limit that Take
--- a/core/limiter/window_test.go
+++ b/core/limiter/window_test.go
@@ -43,7 +43,7 @@
 				uses = append(uses, now)
 			}
 		}
-		for len(uses) > 0 && now.Sub(uses[0]) >= DefaultLength {
+		for len(uses) > 0 && now.Sub(uses[0]) >= DefaultWindow {
 			uses = uses[1:]
 		}
 		worst = max(worst, int64(len(uses)))
@@ -68,7 +68,7 @@
 	now := time.Unix(1000, 0)
 	w := Window{Origin: now}
 	is.True(w.Take(now, 10, 10))
-	is.True(!w.Take(now.Add(DefaultLength/2), 5, 1))
-	is.Equal(w.Used(now.Add(DefaultLength/2)), int64(10))
-	is.True(w.Take(now.Add(DefaultLength+width), 5, 5))
+	is.True(!w.Take(now.Add(DefaultWindow/2), 5, 1))
+	is.Equal(w.Used(now.Add(DefaultWindow/2)), int64(10))
+	is.True(w.Take(now.Add(DefaultWindow+width), 5, 5))
 }
