--- a/core/claimer/claimer_test.go
+++ b/core/claimer/claimer_test.go
@@ -14,7 +14,7 @@
 	"chervilrail.example/core/wire"
 )
 
-// TestMain fixes the seed, so that every run gives the same verdict; -rapid.seed chooses another.
+// TestMain sets a fixed seed, so that every run gives the same result; -rapid.seed chooses another.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if flag.Lookup("rapid.seed").Value.String() == "0" {
@@ -48,10 +48,10 @@
 	t.Run("granted once", func(t *testing.T) {
 		assertState(t, l.Claim(start, first), wire.ClaimState_CLAIM_GRANTED)
 	})
-	t.Run("the holder's own resend is granted", func(t *testing.T) {
+	t.Run("a retry by the holder is granted", func(t *testing.T) {
 		assertState(t, l.Claim(start, first), wire.ClaimState_CLAIM_GRANTED)
 	})
-	t.Run("another attempt is in progress", func(t *testing.T) {
+	t.Run("another attempt gets in progress", func(t *testing.T) {
 		assertState(t, l.Claim(start, claimAt(start, "k", "e2", 2)), wire.ClaimState_CLAIM_PROGRESS)
 	})
 	t.Run("another body is refused", func(t *testing.T) {
@@ -59,7 +59,7 @@
 		other.Fingerprint = []byte("other")
 		assertState(t, l.Claim(start, other), wire.ClaimState_CLAIM_MISMATCH)
 	})
-	t.Run("past its deadline it is unknown", func(t *testing.T) {
+	t.Run("unknown after the deadline", func(t *testing.T) {
 		late := start.Add(11 * time.Second)
 		assertState(t, l.Claim(late, claimAt(start, "k", "e2", 4)), wire.ClaimState_CLAIM_UNKNOWN)
 	})
@@ -67,7 +67,7 @@
 		s := settleOf(claimAt(start, "k", "e2", 2))
 		assertState(t, l.Settle(start, s), wire.ClaimState_CLAIM_MISMATCH)
 	})
-	t.Run("a repeat gets the outcome", func(t *testing.T) {
+	t.Run("a repeat gets the stored outcome", func(t *testing.T) {
 		s := settleOf(first)
 		s.Outcome = &wire.Outcome{Status: 201, Body: []byte("seat 4")}
 		assertState(t, l.Settle(start, s), wire.ClaimState_CLAIM_DONE)
@@ -78,7 +78,7 @@
 	t.Run("a key from the future is refused", func(t *testing.T) {
 		assertState(t, l.Claim(start, claimAt(start.Add(time.Hour), "f", "e1", 1)), wire.ClaimState_CLAIM_FUTURE)
 	})
-	t.Run("not run frees the key", func(t *testing.T) {
+	t.Run("a request that did not run frees the key", func(t *testing.T) {
 		c := claimAt(start, "free", "e1", 6)
 		l.Claim(start, c)
 		s := settleOf(c)
@@ -88,9 +88,9 @@
 	})
 }
 
-// A caller repeats a booking long after the first attempt, when the ledger has forgotten it. Run again, it
-// would take a second seat; so a key that old is refused, and never found missing.
-func TestForgottenKeyIsRefused(t *testing.T) {
+// A caller repeats a booking long after the first attempt, when the ledger has evicted its claim. If it ran again, it
+// would take a second seat; a key that old must be refused and not be treated as new.
+func TestExpiredKeyIsRefused(t *testing.T) {
 	var l Ledger
 	c := claimAt(start, "k", "e1", 1)
 	assertState(t, l.Claim(start, c), wire.ClaimState_CLAIM_GRANTED)
@@ -100,9 +100,9 @@
 	is.New(t).Equal(l.Count(), 0)
 }
 
-// The ledger is full. A claim granted without room for its outcome would lose the answer that a repeat
-// must get, so new work is refused while nothing has run yet.
-func TestFullLedgerRefuses(t *testing.T) {
+// Guards against claims that are granted while the ledger has no space for their outcome: a repeat could not get
+// the stored response. A full ledger refuses claims before the requests run.
+func TestFullLedgerRefusesClaims(t *testing.T) {
 	is := is.New(t)
 	l := Ledger{MaxBytes: 10 * (MaxBody + recordOverhead)}
 	granted := 0
@@ -116,37 +116,37 @@
 	is.True(l.bytes <= l.MaxBytes)
 }
 
-// forgetter is the naive ledger: a claim expires after a while and is granted anew.
-type forgetter struct{ at map[string]time.Time }
+// timeoutLedger is a naive ledger: a claim expires after a fixed time and is granted again.
+type timeoutLedger struct{ expiry map[string]time.Time }
 
-func (f *forgetter) Claim(at time.Time, c *wire.Claim) *wire.ClaimResult {
-	if until, ok := f.at[c.GetKey()]; ok && at.Before(until) {
+func (f *timeoutLedger) Claim(at time.Time, c *wire.Claim) *wire.ClaimResult {
+	if until, ok := f.expiry[c.GetKey()]; ok && at.Before(until) {
 		return &wire.ClaimResult{State: wire.ClaimState_CLAIM_PROGRESS}
 	}
-	f.at[c.GetKey()] = at.Add(30 * time.Second)
+	f.expiry[c.GetKey()] = at.Add(30 * time.Second)
 	return &wire.ClaimResult{State: wire.ClaimState_CLAIM_GRANTED}
 }
 
-func (f *forgetter) Settle(time.Time, *wire.Settle) *wire.ClaimResult { return &wire.ClaimResult{} }
+func (f *timeoutLedger) Settle(time.Time, *wire.Settle) *wire.ClaimResult { return &wire.ClaimResult{} }
 
 type ledger interface {
 	Claim(at time.Time, c *wire.Claim) *wire.ClaimResult
 	Settle(at time.Time, s *wire.Settle) *wire.ClaimResult
 }
 
-// attempt is one entry instance's try: it may freeze between its claim and its sending.
+// attempt is a granted claim of an entry instance, which may be suspended before it sends the request.
 type attempt struct {
 	claim *wire.Claim
-	// sendAt is when the bytes go out, after a freeze perhaps hours later.
+	// sendAt is when the request is sent; a suspension may delay it.
 	sendAt time.Time
 }
 
-// play has callers repeat bookings through several instances, and returns how often each key ran.
-func play(seed uint64, l ledger) map[string]int {
+// simulate repeats bookings through several instances and returns how often each key ran.
+func simulate(seed uint64, l ledger) map[string]int {
 	random := rand.New(rand.NewPCG(seed, 3))
 	runs := map[string]int{}
 	issued := map[string]time.Time{}
-	var open []attempt
+	var pending []attempt
 	now := start
 	for step := range 300 {
 		now = now.Add(time.Duration(random.IntN(20)) * time.Second)
@@ -160,24 +160,25 @@
 		c := claimAt(issued[key], key, fmt.Sprint("e", random.IntN(3)), uint64(step))
 		for range 1 + random.IntN(2) {
 			if l.Claim(now, c).GetState() == wire.ClaimState_CLAIM_GRANTED {
-				open = append(open, attempt{c, now.Add(time.Duration(random.IntN(90)) * time.Second)})
+				pending = append(pending, attempt{c, now.Add(time.Duration(random.IntN(90)) * time.Second)})
 			}
 		}
-		open = finish(now, random, l, open, runs)
+		pending = sendDue(now, random, l, pending, runs)
 	}
 	return runs
 }
 
-// finish sends what is due. A doubled grant to one attempt is one sending: its process sends once.
-func finish(now time.Time, random *rand.Rand, l ledger, open []attempt, runs map[string]int) []attempt {
-	var rest []attempt
+// sendDue sends the attempts that are due and settles most of them. An attempt that was granted twice sends once. It
+// returns the attempts that are not due.
+func sendDue(now time.Time, random *rand.Rand, l ledger, pending []attempt, runs map[string]int) []attempt {
+	var notDue []attempt
 	sent := map[uint64]bool{}
-	for _, a := range open {
+	for _, a := range pending {
 		if sent[a.claim.GetToken()] {
 			continue
 		}
 		if now.Before(a.sendAt) {
-			rest = append(rest, a)
+			notDue = append(notDue, a)
 			continue
 		}
 		sent[a.claim.GetToken()] = true
@@ -198,7 +199,7 @@
 		l.Settle(now, s)
 	}
 	var out []attempt
-	for _, a := range rest {
+	for _, a := range notDue {
 		if !sent[a.claim.GetToken()] {
 			out = append(out, a)
 		}
@@ -206,7 +207,8 @@
 	return out
 }
 
-func worst(runs map[string]int) int {
+// maxRuns returns the runs of the key that ran most often.
+func maxRuns(runs map[string]int) int {
 	most := 0
 	for _, n := range runs {
 		most = max(most, n)
@@ -214,13 +216,13 @@
 	return most
 }
 
-// Callers repeat bookings through other entry instances, for hours; instances freeze between claim and
-// sending, lose outcomes, or find that nothing was sent. A booking that runs twice takes two seats.
+// Callers repeat bookings through other entry instances for hours; instances are suspended between claim and
+// request, lose outcomes, or find that nothing was sent. A booking that runs twice takes two seats.
 func TestAtMostOnce(t *testing.T) {
 	total := 0
 	rapid.Check(t, func(rt *rapid.T) {
-		runs := play(rapid.Uint64().Draw(rt, "seed"), &Ledger{})
-		if n := worst(runs); n > 1 {
+		runs := simulate(rapid.Uint64().Draw(rt, "seed"), &Ledger{})
+		if n := maxRuns(runs); n > 1 {
 			rt.Fatalf("a request ran %d times", n)
 		}
 		total += len(runs)
@@ -228,16 +230,16 @@
 	is.New(t).True(total > 100) // the ledger must let requests run
 }
 
-// A claim that is granted anew after a timeout runs twice when its first holder was only frozen.
+// A claim that is granted again after a timeout runs twice if its first holder was only suspended.
 func TestNaiveTimeoutRunsTwice(t *testing.T) {
-	twice := false
+	ranTwice := false
 	for seed := range uint64(100) {
-		twice = twice || worst(play(seed, &forgetter{map[string]time.Time{}})) > 1
+		ranTwice = ranTwice || maxRuns(simulate(seed, &timeoutLedger{map[string]time.Time{}})) > 1
 	}
-	is.New(t).True(twice)
+	is.New(t).True(ranTwice)
 }
 
-func TestSnapshotKeepsEverything(t *testing.T) {
+func TestRestoredSnapshotIsComplete(t *testing.T) {
 	is := is.New(t)
 	var l, copied Ledger
 	for i := range 20 {
