--- a/core/cataloguer/catalogue.go
+++ b/core/cataloguer/catalogue.go
@@ -1,5 +1,5 @@
-// Package cataloguer reads the catalogue that operators keep in version control, checks it whole and
-// tells two catalogues apart.
+// Package cataloguer parses the catalogue that operators keep in version control, validates it as a whole and
+// compares two catalogues.
 package cataloguer
 
 import (
@@ -14,20 +14,20 @@
 
 // The classes of traffic, most urgent first.
 const (
-	// Urgent requests are short look-ups that go before everything else.
+	// Urgent requests are short look-ups with priority over all other classes.
 	Urgent Class = "urgent"
 	// Once requests must run at most once.
 	Once Class = "once"
-	// Upload requests are long bodies that always finish.
+	// Upload requests have long bodies and always finish.
 	Upload Class = "upload"
-	// Browse requests may be repeated, and are shed first.
+	// Browse requests may be retried and are shed first.
 	Browse Class = "browse"
 )
 
 // Classes lists all classes, most urgent first.
 func Classes() []Class { return []Class{Urgent, Once, Upload, Browse} }
 
-// Rank orders the classes; 0 is the most urgent.
+// Rank returns the class's place in the order of urgency; 0 is the most urgent, and unknown classes come last.
 func (c Class) Rank() int {
 	for i, o := range Classes() {
 		if c == o {
@@ -37,31 +37,31 @@
 	return len(Classes())
 }
 
-// Region is a place with targets and entry instances.
+// Region is a location with targets and entry instances.
 type Region struct {
 	Name  string
 	Zones []string
-	// Cap is the most requests a second that the system may send to targets of the region.
+	// Cap is the most requests per second that the system may send to targets of the region.
 	Cap int64
 	// Floor is the least share of the cap that each live entry instance is granted.
 	Floor int64
 }
 
-// Link is the connection from one region to another.
+// Link is the connection from one region to another, in one direction.
 type Link struct {
 	From string
 	To   string
-	// Cap is the most bytes a second that the system may send over the link, in this direction.
+	// Cap is the most bytes per second that the system may send over the link in this direction.
 	Cap int64
 }
 
-// Service is what targets announce themselves for.
+// Service is a service that targets announce, and the regions it runs in.
 type Service struct {
 	Name    string
 	Regions []string
 }
 
-// Entry is one line of business: a service's traffic of one organisation and class, with its limits.
+// Entry is a kind of traffic: the requests of one organisation and class to a service, with their limits.
 type Entry struct {
 	Name         string
 	Service      string
@@ -69,29 +69,29 @@
 	Class        Class
 	Methods      []string
 	Path         string
-	// Rate is the most requests a second over all entry instances; 0 sets no limit.
+	// Rate is the most requests per second over all entry instances; 0 sets no limit.
 	Rate int64
 	// Body is the largest request body in bytes.
 	Body int64
-	// Timeout bounds a request whose caller names no deadline. Uploads are bounded by progress instead.
+	// Timeout bounds a request whose caller sets no deadline. Uploads are bounded by their progress instead.
 	Timeout time.Duration
 }
 
-// Shift moves part of a service from one region to another.
+// Shift moves a part of a service's requests from one region to another.
 type Shift struct {
 	Name    string
 	Service string
 	From    string
 	To      string
-	// Part is the percentage to move in the end.
+	// Part is the percentage of requests that is moved after the last stage.
 	Part int64
-	// Cap is the most requests a second that the move may add to the new region.
+	// Cap is the most requests per second that the shift may add to the new region.
 	Cap int64
-	// Stages is over how many equal steps the move ramps.
+	// Stages is the number of equal steps in which the shift ramps up to Part.
 	Stages int64
 }
 
-// Drain takes a target, an entry instance, an availability zone or a region out of use.
+// Drain takes a target, an entry instance, an availability zone or a region out of service; exactly one is set.
 type Drain struct {
 	Name     string
 	Target   string
@@ -100,13 +100,13 @@
 	Region   string
 }
 
-// Clients says which region is nearest to blocks of client addresses.
+// Clients declares the blocks of client addresses to which a region is nearest.
 type Clients struct {
 	Region string
 	Blocks []netip.Prefix
 }
 
-// Catalogue is the whole declaration.
+// Catalogue is a parsed catalogue.
 type Catalogue struct {
 	Regions  []Region
 	Links    []Link
@@ -117,7 +117,7 @@
 	Clients  []Clients
 }
 
-// Limits returns every shared limit by resource name.
+// Limits returns every shared limit, sorted by resource name.
 func (c *Catalogue) Limits() []Limit {
 	var out []Limit
 	for _, r := range c.Regions {
@@ -138,23 +138,23 @@
 	return out
 }
 
-// Limit is a cap that all entry instances share.
+// Limit is a cap per second that all entry instances share, with the least share that each live instance is granted.
 type Limit struct {
 	Resource string
 	Cap      int64
 	Floor    int64
 }
 
-// RegionResource names a region's cap.
+// RegionResource returns the resource name of a region's cap.
 func RegionResource(region string) string { return "region:" + region }
 
-// LinkResource names a link's cap.
+// LinkResource returns the resource name of a link's cap.
 func LinkResource(from, to string) string { return "link:" + from + ":" + to }
 
-// EntryResource names a catalogue entry's rate.
+// EntryResource returns the resource name of a catalogue entry's rate.
 func EntryResource(entry string) string { return "entry:" + entry }
 
-// ShiftResource names a shift's cap.
+// ShiftResource returns the resource name of a shift's cap.
 func ShiftResource(shift string) string { return "shift:" + shift }
 
 // Service finds a service by name.
@@ -177,12 +177,13 @@
 	return Region{}, false
 }
 
-// Match finds the entry of a request: the longest path wins, then the one that names methods.
+// Match finds the entry of a request: the longest path wins, then an entry that lists methods. An empty organisation
+// matches the entries of all organisations.
 func (c *Catalogue) Match(service, organisation, method, path string) (*Entry, bool) {
 	var best *Entry
 	for i := range c.Entries {
 		e := &c.Entries[i]
-		if e.Service != service || !e.serves(organisation, method, path) {
+		if e.Service != service || !e.matches(organisation, method, path) {
 			continue
 		}
 		if best == nil || e.moreSpecific(best) {
@@ -192,7 +193,7 @@
 	return best, best != nil
 }
 
-func (e *Entry) serves(organisation, method, path string) bool {
+func (e *Entry) matches(organisation, method, path string) bool {
 	if organisation != "" && e.Organisation != organisation {
 		return false
 	}
@@ -210,7 +211,7 @@
 	return false
 }
 
-// underPath compares whole segments, so that /rsvp does not also match /rsvps.
+// underPath reports whether a path is under a prefix. It compares whole segments, so that /rsvp does not match /rsvps.
 func underPath(path, prefix string) bool {
 	if !strings.HasPrefix(path, prefix) {
 		return false
@@ -226,14 +227,15 @@
 	return len(e.Methods) > 0 && len(o.Methods) == 0
 }
 
-// Drained reports whether a drain takes a place out of use.
+// Drained returns the first drain that applies to a target, entry instance, availability zone or region, and whether
+// there is one. Empty arguments match no drain.
 func (c *Catalogue) Drained(target, instance, zone, region string) (Drain, bool) {
 	for _, d := range c.Drains {
-		hit := d.Target != "" && d.Target == target ||
+		matches := d.Target != "" && d.Target == target ||
 			d.Instance != "" && d.Instance == instance ||
 			d.Zone != "" && d.Zone == zone ||
 			d.Region != "" && d.Region == region
-		if hit {
+		if matches {
 			return d, true
 		}
 	}
--- a/core/cataloguer/cataloguer_test.go
+++ b/core/cataloguer/cataloguer_test.go
@@ -52,7 +52,7 @@
 	return c
 }
 
-// assertFault wants a fault that names section, key and expectation.
+// assertFault checks that Parse rejects the text with a fault that contains want.
 func assertFault(t *testing.T, text, want string) {
 	t.Helper()
 	is := is.New(t)
@@ -103,21 +103,21 @@
 	cases := []struct{ name, text, want string }{
 		{"unknown section", base + "[regoin x]\n", `expected region, link, service`},
 		{"unknown key", base + "[drain x]\nupstraem = u1\ntarget = u1\n", "upstraem: expected a key known here"},
-		{"doubled section", base + "[region astana]\ncap = 5\n", "expected each section once"},
-		{"doubled key", base + "[drain x]\nzone = a\nzone = b\n", "expected each key once"},
-		{"cap of nothing", "[region a]\nzones = a-1\nfloor = 0\n", "[region a] cap: expected a whole number"},
-		{"floors past the cap", "[region a]\nzones = a-1\ncap = 100\nfloor = 10\n", "floor: expected at most a 16th of cap"},
-		{"zone twice", base + "[region c]\nzones = astana-a\ncap = 100\n", "each availability zone in one region"},
+		{"duplicate section", base + "[region astana]\ncap = 5\n", "expected each section once"},
+		{"duplicate key", base + "[drain x]\nzone = a\nzone = b\n", "expected each key once"},
+		{"no cap", "[region a]\nzones = a-1\nfloor = 0\n", "[region a] cap: expected a whole number"},
+		{"floors above the cap", "[region a]\nzones = a-1\ncap = 100\nfloor = 10\n", "floor: expected at most a 16th of cap"},
+		{"zone in two regions", base + "[region c]\nzones = astana-a\ncap = 100\n", "each availability zone in one region"},
 		{"unknown region", base + "[service x]\nregions = mars\n", "a region of this catalogue"},
 		{"unknown service", base + "[entry x]\nservice = nope\nowner = o\nclass = browse\n", "a service of this catalogue"},
 		{"unknown class", base + "[entry x]\nservice = listings\nowner = o\nclass = fast\n", "one of urgent, once, upload, browse"},
-		{"same entry", base + "[entry x]\nservice = listings\nowner = club\nclass = browse\n", "the same as all"},
+		{"duplicate entry", base + "[entry x]\nservice = listings\nowner = club\nclass = browse\n", "the same as all"},
 		{"shift to itself", base + "[shift x]\nservice = listings\nfrom = astana\nto = astana\ncap = 5\n", "a region other than from"},
-		{"shift past the cap", base + "[shift x]\nservice = listings\nfrom = astana\nto = almaty\ncap = 2000\n", "at most the cap of region almaty"},
-		{"two shifts away", base + "[shift x]\nservice = listings\nfrom = astana\nto = almaty\ncap = 5\n" +
+		{"shift above the cap", base + "[shift x]\nservice = listings\nfrom = astana\nto = almaty\ncap = 2000\n", "at most the cap of region almaty"},
+		{"two shifts from one region", base + "[shift x]\nservice = listings\nfrom = astana\nto = almaty\ncap = 5\n" +
 			"[shift y]\nservice = listings\nfrom = astana\nto = almaty\ncap = 5\n", "one shift away from each region"},
-		{"two drains in one", base + "[drain x]\nzone = a\nregion = astana\n", "exactly one of"},
-		{"block twice", base + "[clients almaty]\nblocks = 10.0.0.0/8, 10.0.0.0/8\n", "each block in one region"},
+		{"drain of two things", base + "[drain x]\nzone = a\nregion = astana\n", "exactly one of"},
+		{"duplicate block", base + "[clients almaty]\nblocks = 10.0.0.0/8, 10.0.0.0/8\n", "each block in one region"},
 		{"bad block", base + "[clients almaty]\nblocks = 10.0.0.0/99\n", "blocks such as"},
 		{"bad name", base + "[service a/b]\nregions = almaty\n", "a name of letters"},
 		{"NUL", "[region a\x00]\n", "text without NUL bytes"},
@@ -139,7 +139,7 @@
 	is.Equal(len(Diff([]byte(base), []byte(base))), 0)
 }
 
-// FuzzParse wants no panic, and every refusal typed.
+// FuzzParse checks that Parse never panics and returns only errors of type *parser.FaultsError.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(base))
 	f.Add([]byte("[link a b]\ncap = 1\n[link a]\n[link  ]\n"))
--- a/core/cataloguer/diff.go
+++ b/core/cataloguer/diff.go
@@ -15,7 +15,7 @@
 	New     string `json:"new,omitempty"`
 }
 
-// String shows the difference as one line.
+// String formats the difference as one line.
 func (e Edit) String() string {
 	switch {
 	case e.Old == "":
@@ -26,18 +26,18 @@
 	return fmt.Sprintf("~ [%s] %s = %s -> %s", e.Section, e.Key, e.Old, e.New)
 }
 
-// Diff lists what a new catalogue changes; comments and order do not count.
+// Diff lists the settings that differ between two catalogues, sorted by section and key. Comments and order are ignored.
 func Diff(before, after []byte) []Edit {
-	old, now := flat(before), flat(after)
+	old, updated := settings(before), settings(after)
 	var out []Edit
-	for place, value := range now {
-		if old[place] != value {
-			out = append(out, Edit{place.section, place.key, old[place], value})
+	for setting, value := range updated {
+		if old[setting] != value {
+			out = append(out, Edit{setting.section, setting.key, old[setting], value})
 		}
 	}
-	for place, value := range old {
-		if _, ok := now[place]; !ok {
-			out = append(out, Edit{place.section, place.key, value, ""})
+	for setting, value := range old {
+		if _, ok := updated[setting]; !ok {
+			out = append(out, Edit{setting.section, setting.key, value, ""})
 		}
 	}
 	sort.Slice(out, func(i, j int) bool {
@@ -49,16 +49,17 @@
 	return out
 }
 
-type keyPlace struct {
+type settingKey struct {
 	section string
 	key     string
 }
 
-func flat(data []byte) map[keyPlace]string {
-	out := map[keyPlace]string{}
+// settings returns the values of a catalogue by section title and key.
+func settings(data []byte) map[settingKey]string {
+	out := map[settingKey]string{}
 	for _, s := range parser.Parse("catalogue", data).Sections {
 		for key, value := range s.Values() {
-			out[keyPlace{s.Title(), key}] = value
+			out[settingKey{s.Title(), key}] = value
 		}
 	}
 	return out
--- a/core/cataloguer/parse.go
+++ b/core/cataloguer/parse.go
@@ -14,24 +14,25 @@
 )
 
 const (
-	// MaxSize is the largest catalogue that is read, in bytes.
+	// MaxSize is the largest catalogue that Parse accepts, in bytes.
 	MaxSize = 4 << 20
 
 	maxRate        = 10_000_000
-	maxBytesRate   = 1 << 40
+	maxByteRate    = 1 << 40
 	maxBody        = 1 << 40
 	defaultBody    = 1 << 20
 	defaultTimeout = 10 * time.Second
 	maxTimeout     = 24 * time.Hour
-	wholePart      = 100
+	fullPercent    = 100
 	maxStages      = 100
 	defaultStages  = 5
 	linkEnds       = 2
-	// holders is how many entry instances the floors of a region must have room for.
-	holders = 16
+	// minFloorHolders is the number of entry instances whose floors must fit into the cap of their region.
+	minFloorHolders = 16
 )
 
-// Parse reads a catalogue and checks it whole; the error names every fault.
+// Parse reads and validates a catalogue; source names it in faults. The error is a *parser.FaultsError with every
+// fault found.
 func Parse(source string, data []byte) (*Catalogue, error) {
 	if len(data) > MaxSize {
 		return nil, &parser.FaultsError{Faults: []parser.Fault{{
@@ -48,18 +49,18 @@
 	if err := r.Err(); err != nil {
 		return nil, err
 	}
-	return &r.out, nil
+	return &r.catalogue, nil
 }
 
-// reader collects the parts of one catalogue.
+// reader collects the sections of one catalogue.
 type reader struct {
 	*parser.Document
-	out Catalogue
-	at  map[string]*parser.Section
+	catalogue Catalogue
+	sections  map[string]*parser.Section
 }
 
 func (r *reader) section(s *parser.Section) {
-	r.remember(s)
+	r.register(s)
 	switch s.Kind {
 	case "region":
 		r.region(s)
@@ -80,11 +81,11 @@
 	}
 }
 
-func (r *reader) remember(s *parser.Section) {
-	if r.at == nil {
-		r.at = map[string]*parser.Section{}
+func (r *reader) register(s *parser.Section) {
+	if r.sections == nil {
+		r.sections = map[string]*parser.Section{}
 	}
-	r.at[s.Title()] = s
+	r.sections[s.Title()] = s
 	if s.Kind == "link" {
 		return
 	}
@@ -94,7 +95,7 @@
 }
 
 func (r *reader) region(s *parser.Section) {
-	r.out.Regions = append(r.out.Regions, Region{
+	r.catalogue.Regions = append(r.catalogue.Regions, Region{
 		Name:  s.Name,
 		Zones: r.List(s, "zones"),
 		Cap:   r.Number(s, "cap", 0, 1, maxRate),
@@ -108,15 +109,15 @@
 		r.Fault(s, "", "two region names after link", strconv.Quote(s.Name))
 		return
 	}
-	r.out.Links = append(r.out.Links, Link{
+	r.catalogue.Links = append(r.catalogue.Links, Link{
 		From: ends[0],
 		To:   ends[1],
-		Cap:  r.Number(s, "cap", 0, 1, maxBytesRate),
+		Cap:  r.Number(s, "cap", 0, 1, maxByteRate),
 	})
 }
 
 func (r *reader) service(s *parser.Section) {
-	r.out.Services = append(r.out.Services, Service{
+	r.catalogue.Services = append(r.catalogue.Services, Service{
 		Name:    s.Name,
 		Regions: r.List(s, "regions"),
 	})
@@ -138,25 +139,25 @@
 	if !strings.HasPrefix(e.Path, "/") {
 		r.Fault(s, "path", "a path that starts with /", strconv.Quote(e.Path))
 	}
-	known := []string{
+	supported := []string{
 		http.MethodGet, http.MethodHead, http.MethodPost, http.MethodPut,
 		http.MethodPatch, http.MethodDelete, http.MethodOptions,
 	}
 	for _, m := range e.Methods {
-		if !slices.Contains(known, m) {
+		if !slices.Contains(supported, m) {
 			r.Fault(s, "methods", "HTTP methods in capitals", strconv.Quote(m))
 		}
 	}
-	r.out.Entries = append(r.out.Entries, e)
+	r.catalogue.Entries = append(r.catalogue.Entries, e)
 }
 
 func (r *reader) shift(s *parser.Section) {
-	r.out.Shifts = append(r.out.Shifts, Shift{
+	r.catalogue.Shifts = append(r.catalogue.Shifts, Shift{
 		Name:    s.Name,
 		Service: r.String(s, "service", ""),
 		From:    r.String(s, "from", ""),
 		To:      r.String(s, "to", ""),
-		Part:    r.Number(s, "part", wholePart, 1, wholePart),
+		Part:    r.Number(s, "part", fullPercent, 1, fullPercent),
 		Cap:     r.Number(s, "cap", 0, 1, maxRate),
 		Stages:  r.Number(s, "stages", defaultStages, 1, maxStages),
 	})
@@ -170,26 +171,26 @@
 		Zone:     r.Optional(s, "zone"),
 		Region:   r.Optional(s, "region"),
 	}
-	named := 0
+	count := 0
 	for _, v := range []string{d.Target, d.Instance, d.Zone, d.Region} {
 		if v != "" {
-			named++
+			count++
 		}
 	}
-	if named != 1 {
-		r.Fault(s, "", "exactly one of target, instance, zone, region", strconv.Itoa(named))
+	if count != 1 {
+		r.Fault(s, "", "exactly one of target, instance, zone, region", strconv.Itoa(count))
 	}
-	r.out.Drains = append(r.out.Drains, d)
+	r.catalogue.Drains = append(r.catalogue.Drains, d)
 }
 
 func (r *reader) clients(s *parser.Section) {
-	r.out.Clients = append(r.out.Clients, Clients{
+	r.catalogue.Clients = append(r.catalogue.Clients, Clients{
 		Region: s.Name,
 		Blocks: r.Prefixes(s, "blocks"),
 	})
 }
 
-// check finds contradictions between sections.
+// check records contradictions between sections as faults.
 func (r *reader) check() {
 	r.checkRegions()
 	r.checkLinks()
@@ -200,22 +201,22 @@
 	r.checkClients()
 }
 
-func (r *reader) wantRegion(s *parser.Section, key, name string) {
-	if _, ok := r.out.Region(name); !ok {
+func (r *reader) requireRegion(s *parser.Section, key, name string) {
+	if _, ok := r.catalogue.Region(name); !ok {
 		r.Fault(s, key, "a region of this catalogue", strconv.Quote(name))
 	}
 }
 
-func (r *reader) wantService(s *parser.Section, name string) {
-	if _, ok := r.out.Service(name); !ok && name != "" {
+func (r *reader) requireService(s *parser.Section, name string) {
+	if _, ok := r.catalogue.Service(name); !ok && name != "" {
 		r.Fault(s, "service", "a service of this catalogue", strconv.Quote(name))
 	}
 }
 
 func (r *reader) checkRegions() {
 	zones := map[string]string{}
-	for _, region := range r.out.Regions {
-		s := r.at["region "+region.Name]
+	for _, region := range r.catalogue.Regions {
+		s := r.sections["region "+region.Name]
 		if len(region.Zones) == 0 {
 			r.Fault(s, "zones", "at least one availability zone", "none")
 		}
@@ -225,22 +226,22 @@
 			}
 			zones[zone] = region.Name
 		}
-		// If all floors together passed the cap, the shares could not add up: some instance would be
-		// granted less than its floor, or the region would be overloaded.
-		if region.Floor > math.MaxInt64/holders || region.Floor*holders > region.Cap {
-			r.Fault(s, "floor", fmt.Sprintf("at most a %dth of cap", holders), strconv.FormatInt(region.Floor, 10))
+		// If all floors together exceeded the cap, some instance would be granted less than its floor, or the region
+		// would be overloaded.
+		if region.Floor > math.MaxInt64/minFloorHolders || region.Floor*minFloorHolders > region.Cap {
+			r.Fault(s, "floor", fmt.Sprintf("at most a %dth of cap", minFloorHolders), strconv.FormatInt(region.Floor, 10))
 		}
 	}
 }
 
 func (r *reader) checkLinks() {
-	for _, l := range r.out.Links {
-		s := r.at["link "+l.From+" "+l.To]
+	for _, l := range r.catalogue.Links {
+		s := r.sections["link "+l.From+" "+l.To]
 		if s == nil {
 			continue
 		}
-		r.wantRegion(s, "", l.From)
-		r.wantRegion(s, "", l.To)
+		r.requireRegion(s, "", l.From)
+		r.requireRegion(s, "", l.To)
 		if l.From == l.To {
 			r.Fault(s, "", "two different regions", l.From)
 		}
@@ -248,23 +249,23 @@
 }
 
 func (r *reader) checkServices() {
-	for _, service := range r.out.Services {
-		s := r.at["service "+service.Name]
+	for _, service := range r.catalogue.Services {
+		s := r.sections["service "+service.Name]
 		if len(service.Regions) == 0 {
 			r.Fault(s, "regions", "at least one region", "none")
 		}
 		for _, name := range service.Regions {
-			r.wantRegion(s, "regions", name)
+			r.requireRegion(s, "regions", name)
 		}
 	}
 }
 
 func (r *reader) checkEntries() {
 	seen := map[string]string{}
-	for i := range r.out.Entries {
-		e := &r.out.Entries[i]
-		s := r.at["entry "+e.Name]
-		r.wantService(s, e.Service)
+	for i := range r.catalogue.Entries {
+		e := &r.catalogue.Entries[i]
+		s := r.sections["entry "+e.Name]
+		r.requireService(s, e.Service)
 		methods := slices.Sorted(slices.Values(e.Methods))
 		id := strings.Join([]string{e.Service, e.Organisation, e.Path, strings.Join(methods, "+")}, "|")
 		if other, ok := seen[id]; ok {
@@ -276,11 +277,11 @@
 
 func (r *reader) checkShifts() {
 	seen := map[string]string{}
-	for _, shift := range r.out.Shifts {
-		s := r.at["shift "+shift.Name]
-		r.wantService(s, shift.Service)
-		r.wantRegion(s, "from", shift.From)
-		r.wantRegion(s, "to", shift.To)
+	for _, shift := range r.catalogue.Shifts {
+		s := r.sections["shift "+shift.Name]
+		r.requireService(s, shift.Service)
+		r.requireRegion(s, "from", shift.From)
+		r.requireRegion(s, "to", shift.To)
 		if shift.From == shift.To {
 			r.Fault(s, "to", "a region other than from", strconv.Quote(shift.To))
 		}
@@ -289,7 +290,7 @@
 			r.Fault(s, "from", "one shift away from each region of a service", "also "+other)
 		}
 		seen[id] = shift.Name
-		to, ok := r.out.Region(shift.To)
+		to, ok := r.catalogue.Region(shift.To)
 		if ok && shift.Cap > to.Cap {
 			r.Fault(s, "cap", "at most the cap of region "+to.Name, strconv.FormatInt(shift.Cap, 10))
 		}
@@ -297,18 +298,18 @@
 }
 
 func (r *reader) checkDrains() {
-	for _, d := range r.out.Drains {
+	for _, d := range r.catalogue.Drains {
 		if d.Region != "" {
-			r.wantRegion(r.at["drain "+d.Name], "region", d.Region)
+			r.requireRegion(r.sections["drain "+d.Name], "region", d.Region)
 		}
 	}
 }
 
 func (r *reader) checkClients() {
 	seen := map[netip.Prefix]string{}
-	for _, c := range r.out.Clients {
-		s := r.at["clients "+c.Region]
-		r.wantRegion(s, "", c.Region)
+	for _, c := range r.catalogue.Clients {
+		s := r.sections["clients "+c.Region]
+		r.requireRegion(s, "", c.Region)
 		for _, b := range c.Blocks {
 			if other, ok := seen[b]; ok {
 				r.Fault(s, "blocks", "each block in one region", b.String()+" also in "+other)
