--- a/core/parser/errors.go
+++ b/core/parser/errors.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Fault is one thing wrong with a document.
+// Fault is one error in a document. Line, Section and Key are empty where they are not known.
 type Fault struct {
 	Source   string
 	Line     int
@@ -16,7 +16,7 @@
 	Got      string
 }
 
-// String gives the fault as one line that names its place.
+// String formats the fault as one line that starts with its position.
 func (f Fault) String() string {
 	var b strings.Builder
 	b.WriteString(f.Source)
@@ -33,7 +33,7 @@
 	return b.String()
 }
 
-// FaultsError holds every fault of a document.
+// FaultsError holds all faults of a document.
 type FaultsError struct {
 	Faults []Fault
 }
--- a/core/parser/parser.go
+++ b/core/parser/parser.go
@@ -1,4 +1,4 @@
-// Package parser reads INI documents with typed values and names every fault by line, section and key.
+// Package parser reads typed values from INI documents and reports every fault with its line, section and key.
 package parser
 
 import (
@@ -10,7 +10,7 @@
 	"gopkg.in/ini.v1"
 )
 
-// Section is one headed part of a document. A heading is a kind, or a kind and a name.
+// Section is a section of a document. Its heading is a kind, or a kind and a name.
 type Section struct {
 	Kind string
 	Name string
@@ -29,7 +29,7 @@
 // Values returns a copy of the section's keys and values.
 func (s *Section) Values() map[string]string { return maps.Clone(s.keys) }
 
-// Document is a parsed source whose values are read by type; faults collect until Err.
+// Document is a parsed source. Its methods read values by type and record faults, which Err returns.
 type Document struct {
 	Source   string
 	Sections []*Section
@@ -37,7 +37,7 @@
 	faults []Fault
 }
 
-// Parse splits a source into sections. Faults of form are kept and reported by Err.
+// Parse splits a source into sections; the source's name stands in faults. Err reports syntax faults too.
 func Parse(source string, data []byte) *Document {
 	d := &Document{Source: source}
 	if bytes.IndexByte(data, 0) >= 0 {
@@ -54,14 +54,15 @@
 		d.Fault(nil, "", "sections of key = value lines", err.Error())
 		return d
 	}
-	places := scan(d, data)
+	lines := scanLines(d, data)
 	for _, section := range file.Sections() {
-		d.take(section, places)
+		d.addSection(section, lines)
 	}
 	return d
 }
 
-func (d *Document) take(section *ini.Section, places map[string]*place) {
+// addSection adds a parsed section. Keys before the first section are a fault.
+func (d *Document) addSection(section *ini.Section, lines map[string]*sectionLines) {
 	if section.Name() == ini.DefaultSection {
 		if len(section.Keys()) > 0 {
 			d.Fault(nil, section.Keys()[0].Name(), "keys inside a section", "a key before the first section")
@@ -76,7 +77,7 @@
 		lines: map[string]int{},
 		read:  map[string]bool{},
 	}
-	if p, ok := places[section.Name()]; ok {
+	if p, ok := lines[section.Name()]; ok {
 		s.Line = p.line
 		s.lines = p.keys
 	}
@@ -86,16 +87,17 @@
 	d.Sections = append(d.Sections, s)
 }
 
-type place struct {
+// sectionLines holds the line numbers of a section's heading and keys.
+type sectionLines struct {
 	line int
 	keys map[string]int
 }
 
-// scan finds line numbers, and the doubled sections and keys that the library would merge in silence:
-// an operator who pastes a section twice would otherwise see the first one's limits ignored.
-func scan(d *Document, data []byte) map[string]*place {
-	places := map[string]*place{}
-	var current *place
+// scanLines finds the line numbers of sections and keys, and records duplicates as faults. The library merges duplicates
+// without an error: the limits of the first of two sections would be ignored.
+func scanLines(d *Document, data []byte) map[string]*sectionLines {
+	found := map[string]*sectionLines{}
+	var current *sectionLines
 	lines := bufio.NewScanner(bytes.NewReader(data))
 	lines.Buffer(nil, len(data)+1)
 	for number := 1; lines.Scan(); number++ {
@@ -104,27 +106,27 @@
 			continue
 		}
 		if line[0] == '[' {
-			current = scanHeading(d, places, line, number)
+			current = scanHeading(d, found, line, number)
 			continue
 		}
 		scanKey(d, current, line, number)
 	}
-	return places
+	return found
 }
 
-func scanHeading(d *Document, places map[string]*place, line string, number int) *place {
+func scanHeading(d *Document, found map[string]*sectionLines, line string, number int) *sectionLines {
 	name := strings.TrimSpace(strings.TrimPrefix(line, "["))
 	if end := strings.IndexByte(name, ']'); end >= 0 {
 		name = strings.TrimSpace(name[:end])
 	}
-	if _, ok := places[name]; ok {
+	if _, ok := found[name]; ok {
 		d.faults = append(d.faults, Fault{d.Source, number, name, "", "each section once", "the section again"})
 	}
-	places[name] = &place{number, map[string]int{}}
-	return places[name]
+	found[name] = &sectionLines{number, map[string]int{}}
+	return found[name]
 }
 
-func scanKey(d *Document, current *place, line string, number int) {
+func scanKey(d *Document, current *sectionLines, line string, number int) {
 	at := strings.IndexAny(line, "=:")
 	if at < 0 || current == nil {
 		return
@@ -136,7 +138,8 @@
 	current.keys[name] = number
 }
 
-// Fault records what was expected at a key of a section and what stood there.
+// Fault records a fault: what was expected at a key of a section, and what was found. The section may be nil and the
+// key empty.
 func (d *Document) Fault(s *Section, key, expected, got string) {
 	fault := Fault{Source: d.Source, Key: key, Expected: expected, Got: got}
 	if s != nil {
@@ -149,7 +152,8 @@
 	d.faults = append(d.faults, fault)
 }
 
-// Err returns all faults found so far, those of unread keys included.
+// Err returns all faults found so far as a *FaultsError, or nil. Keys that were never read are faults too: they are
+// unknown.
 func (d *Document) Err() error {
 	for _, s := range d.Sections {
 		for key := range s.keys {
--- a/core/parser/values.go
+++ b/core/parser/values.go
@@ -9,17 +9,17 @@
 )
 
 const (
-	decimal  = 10
-	wordBits = 64
+	base    = 10
+	bitSize = 64
 )
 
-// Has reports whether the section gives a key.
+// Has reports whether the section contains a key.
 func (s *Section) Has(key string) bool {
 	_, ok := s.keys[key]
 	return ok
 }
 
-// String reads a text; an empty fallback makes the key required.
+// String reads a string; an empty fallback makes the key required.
 func (d *Document) String(s *Section, key, fallback string) string {
 	s.read[key] = true
 	if value := s.keys[key]; value != "" {
@@ -31,11 +31,11 @@
 	return fallback
 }
 
-// maxName is the length of a label in a host name.
+// maxName is the longest name; it is the limit for a label of a host name.
 const maxName = 63
 
-// ValidName reports whether a name holds only letters, digits and hyphens, so that it can stand in host
-// names, file names and JSON as it is.
+// ValidName reports whether a name is not empty, at most maxName long and holds only letters, digits and hyphens, so
+// that it needs no escaping in host names, file names and JSON.
 func ValidName(name string) bool {
 	if name == "" || len(name) > maxName {
 		return false
@@ -55,13 +55,13 @@
 	return name
 }
 
-// Optional reads a text that may be absent.
+// Optional reads a string that may be absent.
 func (d *Document) Optional(s *Section, key string) string {
 	s.read[key] = true
 	return s.keys[key]
 }
 
-// Number reads a whole number between low and high.
+// Number reads a whole number from low to high. A fallback outside this range makes the key required.
 func (d *Document) Number(s *Section, key string, fallback, low, high int64) int64 {
 	s.read[key] = true
 	text, ok := s.keys[key]
@@ -71,7 +71,7 @@
 		}
 		return fallback
 	}
-	n, err := strconv.ParseInt(text, decimal, wordBits)
+	n, err := strconv.ParseInt(text, base, bitSize)
 	if err != nil || n < low || n > high {
 		d.Fault(s, key, rangeText(low, high), strconv.Quote(text))
 		return fallback
@@ -80,17 +80,17 @@
 }
 
 func rangeText(low, high int64) string {
-	return "a whole number from " + strconv.FormatInt(low, decimal) + " to " + strconv.FormatInt(high, decimal)
+	return "a whole number from " + strconv.FormatInt(low, base) + " to " + strconv.FormatInt(high, base)
 }
 
-// Float reads a number between low and high.
+// Float reads a number from low to high.
 func (d *Document) Float(s *Section, key string, fallback, low, high float64) float64 {
 	s.read[key] = true
 	text, ok := s.keys[key]
 	if !ok {
 		return fallback
 	}
-	f, err := strconv.ParseFloat(text, wordBits)
+	f, err := strconv.ParseFloat(text, bitSize)
 	if err != nil || !(f >= low && f <= high) {
 		d.Fault(s, key, "a number from "+realText(low)+" to "+realText(high), strconv.Quote(text))
 		return fallback
@@ -98,9 +98,9 @@
 	return f
 }
 
-func realText(f float64) string { return strconv.FormatFloat(f, 'g', -1, wordBits) }
+func realText(f float64) string { return strconv.FormatFloat(f, 'g', -1, bitSize) }
 
-// Duration reads a length of time such as 200ms between low and high.
+// Duration reads a duration such as 200ms, from low to high.
 func (d *Document) Duration(s *Section, key string, fallback, low, high time.Duration) time.Duration {
 	s.read[key] = true
 	text, ok := s.keys[key]
@@ -132,7 +132,7 @@
 	return fallback
 }
 
-// Choice reads one of a few words.
+// Choice reads one of the given words; an empty fallback makes the key required.
 func (d *Document) Choice(s *Section, key, fallback string, words ...string) string {
 	value := d.String(s, key, fallback)
 	if value != "" && !slices.Contains(words, value) {
@@ -141,7 +141,7 @@
 	return value
 }
 
-// List reads words separated by commas.
+// List reads words separated by commas; the key may be absent.
 func (d *Document) List(s *Section, key string) []string {
 	s.read[key] = true
 	var out []string
@@ -153,7 +153,7 @@
 	return out
 }
 
-// Address reads an IP number and port.
+// Address reads an IP address and port; the zero value stands for an absent key that is not required.
 func (d *Document) Address(s *Section, key string, required bool) netip.AddrPort {
 	s.read[key] = true
 	text := s.keys[key]
@@ -167,7 +167,7 @@
 	return address
 }
 
-// Prefixes reads IP blocks separated by commas.
+// Prefixes reads IP prefixes separated by commas; the key may be absent.
 func (d *Document) Prefixes(s *Section, key string) []netip.Prefix {
 	var out []netip.Prefix
 	for _, text := range d.List(s, key) {
