--- a/core/limiter/window_test.go
+++ b/core/limiter/window_test.go
@@ -8,14 +8,14 @@
 	"github.com/matryer/is"
 )
 
-// burst is the naive limit: it counts by the clock's full seconds, and lets double the limit through
-// around the turn of one.
-type burst struct {
+// fixedWindow is a naive limiter: it counts by calendar seconds and lets up to twice the limit through within one
+// second around their boundary.
+type fixedWindow struct {
 	second int64
 	count  int64
 }
 
-func (b *burst) Take(now time.Time, limit, n int64) bool {
+func (b *fixedWindow) Take(now time.Time, limit, n int64) bool {
 	if now.Unix() != b.second {
 		b.second, b.count = now.Unix(), 0
 	}
@@ -26,12 +26,12 @@
 	return true
 }
 
-type taker interface {
+type limiter interface {
 	Take(now time.Time, limit, n int64) bool
 }
 
-// most returns the largest use in any window of one second.
-func most(seed uint64, w taker, limit int64) int64 {
+// maxUse returns the largest use in any window of one second.
+func maxUse(seed uint64, w limiter, limit int64) int64 {
 	random := rand.New(rand.NewPCG(seed, 5))
 	now := time.Unix(1000, 0)
 	var uses []time.Time
@@ -51,24 +51,24 @@
 	return worst
 }
 
-// Callers come in bursts around the turn of a second. A limit counted by calendar seconds lets nearly
-// twice the cap through within one second, and the region is overloaded although every second looks right.
-func TestNoSecondPassesTheLimit(t *testing.T) {
+// Requests arrive in bursts around the boundary of calendar seconds. A limit counted by calendar seconds lets nearly
+// twice the cap through within one second, and the region is overloaded although no calendar second exceeds the cap.
+func TestWindowNeverExceedsLimit(t *testing.T) {
 	is := is.New(t)
 	var naive int64
 	for seed := range uint64(50) {
-		is.True(most(seed, &Window{Origin: time.Unix(0, 0)}, 40) <= 40)
-		naive = max(naive, most(seed, &burst{}, 40))
+		is.True(maxUse(seed, &Window{Origin: time.Unix(0, 0)}, 40) <= 40)
+		naive = max(naive, maxUse(seed, &fixedWindow{}, 40))
 	}
 	is.True(naive > 40)
 }
 
-func TestLoweredLimitWaitsForTheWindow(t *testing.T) {
+func TestLoweredLimitCountsEarlierUse(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	w := Window{Origin: now}
 	is.True(w.Take(now, 10, 10))
 	is.True(!w.Take(now.Add(DefaultWindow/2), 5, 1))
 	is.Equal(w.Used(now.Add(DefaultWindow/2)), int64(10))
-	is.True(w.Take(now.Add(DefaultWindow+width), 5, 5))
+	is.True(w.Take(now.Add(DefaultWindow+defaultBucketWidth), 5, 5))
 }
