--- a/core/quarantiner/quarantiner.go
+++ b/core/quarantiner/quarantiner.go
@@ -1,5 +1,5 @@
-// Package quarantiner finds requests that crash the targets which run them, and keeps them out for a
-// while. Entry instances share what they see. It is safe for concurrent use.
+// Package quarantiner detects requests that crash the targets which run them, and refuses them for some time. Entry
+// instances share the losses that they observe. It is safe for concurrent use.
 package quarantiner
 
 import (
@@ -8,149 +8,153 @@
 )
 
 const (
-	// DefaultThreshold is from how many different dead targets a request counts as the cause, unless set otherwise.
+	// DefaultThreshold is the default of Quarantiner.Threshold.
 	DefaultThreshold = 2
-	// RefusalPeriod is how long a confirmed request is refused.
+	// RefusalPeriod is how long a request that reached the threshold is refused.
 	RefusalPeriod = 5 * time.Minute
-	// memory is how long a loss counts.
-	memory = 2 * time.Minute
-	// maxTracked bounds the table; a flood of different requests must not fill the memory.
+	// lossRetention is how long a loss counts.
+	lossRetention = 2 * time.Minute
+	// maxTracked bounds the tables: a flood of different requests must not exhaust the memory.
 	maxTracked = 65536
-	sweepPause = time.Second
+	// sweepInterval is the least time between two sweeps of a full table.
+	sweepInterval = time.Second
 )
 
-// Fingerprint identifies a request by what the target would run.
+// Fingerprint identifies a request by what a target would run for it.
 type Fingerprint [16]byte
 
-// Run identifies one run of one target.
+// Run identifies one run of a target, from its start to its end.
 type Run struct {
 	Target      string
 	Incarnation uint64
 }
 
-// Quarantiner holds the suspicions. Its zero value holds none.
+// Quarantiner holds the suspected requests. Its zero value holds none.
 type Quarantiner struct {
-	// Threshold is from how many different dead targets a request counts as the cause; zero means Confirmed.
+	// Threshold is the number of different target runs whose loss a request is taken to have caused; zero means
+	// DefaultThreshold.
 	Threshold int
 
-	mu    sync.Mutex
-	cases map[Fingerprint]*suspicion
-	// good and older hold what succeeded lately, in two generations that replace each other.
-	good  map[Fingerprint]time.Time
-	older map[Fingerprint]time.Time
-	// sweepAt is from when a full table may be swept again.
-	sweepAt time.Time
+	mu         sync.Mutex
+	suspicions map[Fingerprint]*suspicion
+	// successes and olderSuccesses hold when requests last succeeded, in two generations: a full one replaces the older.
+	successes      map[Fingerprint]time.Time
+	olderSuccesses map[Fingerprint]time.Time
+	// nextSweep is the earliest time at which a full table is swept again.
+	nextSweep time.Time
 }
 
+// suspicion holds the recent losses of one request: when each run's loss expires, and until when it is refused.
 type suspicion struct {
-	runs  map[Run]time.Time
-	until time.Time
+	runs         map[Run]time.Time
+	refusedUntil time.Time
 }
 
-// RecordLoss records that a request was in flight when a target run broke off, and reports whether this is
-// news. One run counts once, however often it is told.
+// RecordLoss records that a request was in flight when a target run was lost, and reports whether the loss is new. One
+// run counts once, however often it is reported.
 func (q *Quarantiner) RecordLoss(now time.Time, f Fingerprint, run Run) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if q.cases == nil {
-		q.cases = map[Fingerprint]*suspicion{}
+	if q.suspicions == nil {
+		q.suspicions = map[Fingerprint]*suspicion{}
 	}
-	s, ok := q.cases[f]
+	s, ok := q.suspicions[f]
 	if !ok {
-		// Sweeping for each loss while the table is full would cost more than the flood that filled it.
-		if len(q.cases) >= maxTracked && !now.Before(q.sweepAt) {
-			q.sweepAt = now.Add(sweepPause)
+		// Sweeping at each loss while the table is full would cost more than the flood that filled it.
+		if len(q.suspicions) >= maxTracked && !now.Before(q.nextSweep) {
+			q.nextSweep = now.Add(sweepInterval)
 			q.sweep(now)
 		}
-		if len(q.cases) >= maxTracked {
+		if len(q.suspicions) >= maxTracked {
 			return false
 		}
 		s = &suspicion{runs: map[Run]time.Time{}}
-		q.cases[f] = s
+		q.suspicions[f] = s
 	}
-	if _, known := s.runs[run]; known {
+	if _, counted := s.runs[run]; counted {
 		return false
 	}
-	s.runs[run] = now.Add(memory)
-	if q.recent(now, s) >= q.confirm() {
-		s.until = now.Add(RefusalPeriod)
+	s.runs[run] = now.Add(lossRetention)
+	if q.countLosses(now, s) >= q.threshold() {
+		s.refusedUntil = now.Add(RefusalPeriod)
 	}
 	return true
 }
 
-func (q *Quarantiner) confirm() int {
+func (q *Quarantiner) threshold() int {
 	if q.Threshold > 0 {
 		return q.Threshold
 	}
 	return DefaultThreshold
 }
 
-// Losses returns how many targets died lately while the request was in flight there.
+// Losses returns how many target runs were lost recently while the request was in flight there.
 func (q *Quarantiner) Losses(now time.Time, f Fingerprint) int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	s, ok := q.cases[f]
+	s, ok := q.suspicions[f]
 	if !ok {
 		return 0
 	}
-	return q.recent(now, s)
+	return q.countLosses(now, s)
 }
 
-// RecordSuccess clears a suspicion: a request that kills what runs it never succeeds, while one that only
-// shared a dead target soon does. It reports whether there was anything to clear.
+// RecordSuccess records a success and clears the losses of the request: a request that crashes its targets never
+// succeeds, while one that was only in flight on the same target soon does. It reports whether there were any losses.
 func (q *Quarantiner) RecordSuccess(now time.Time, f Fingerprint) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.praise(now, f)
-	if _, ok := q.cases[f]; !ok {
+	q.addSuccess(now, f)
+	if _, ok := q.suspicions[f]; !ok {
 		return false
 	}
-	delete(q.cases, f)
+	delete(q.suspicions, f)
 	return true
 }
 
-func (q *Quarantiner) praise(now time.Time, f Fingerprint) {
-	if q.good == nil || len(q.good) >= maxTracked/2 {
-		q.older = q.good
-		q.good = map[Fingerprint]time.Time{}
+func (q *Quarantiner) addSuccess(now time.Time, f Fingerprint) {
+	if q.successes == nil || len(q.successes) >= maxTracked/2 {
+		q.olderSuccesses = q.successes
+		q.successes = map[Fingerprint]time.Time{}
 	}
-	q.good[f] = now
+	q.successes[f] = now
 }
 
-// Suspect reports whether the request was in flight at a recent loss, so that trying it elsewhere could
-// cost a second target. One loss does not count against a request that succeeded lately: a busy page
-// is in flight whenever a target dies, and refusing to retry it would punish every bystander.
+// Suspect reports whether the request was in flight at a recent loss, so that a retry could crash a second target. A
+// single loss does not count against a request that succeeded recently: a frequent request is in flight whenever a
+// target crashes, and without retries it would fail although it is harmless.
 func (q *Quarantiner) Suspect(now time.Time, f Fingerprint) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	s, ok := q.cases[f]
+	s, ok := q.suspicions[f]
 	if !ok {
 		return false
 	}
-	losses := q.recent(now, s)
-	return losses > 1 || losses == 1 && !q.goodLately(now, f)
+	losses := q.countLosses(now, s)
+	return losses > 1 || losses == 1 && !q.succeededRecently(now, f)
 }
 
-func (q *Quarantiner) goodLately(now time.Time, f Fingerprint) bool {
-	at, ok := q.good[f]
+func (q *Quarantiner) succeededRecently(now time.Time, f Fingerprint) bool {
+	at, ok := q.successes[f]
 	if !ok {
-		at, ok = q.older[f]
+		at, ok = q.olderSuccesses[f]
 	}
-	return ok && now.Sub(at) < memory
+	return ok && now.Sub(at) < lossRetention
 }
 
-// RefusedUntil returns until when a request is refused; the zero time means it is not.
+// RefusedUntil returns until when a request is refused, or the zero time if it is not.
 func (q *Quarantiner) RefusedUntil(now time.Time, f Fingerprint) time.Time {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	s, ok := q.cases[f]
-	if !ok || !now.Before(s.until) {
+	s, ok := q.suspicions[f]
+	if !ok || !now.Before(s.refusedUntil) {
 		return time.Time{}
 	}
-	return s.until
+	return s.refusedUntil
 }
 
-func (q *Quarantiner) recent(now time.Time, s *suspicion) int {
+// countLosses returns how many losses have not expired, and removes those that have.
+func (q *Quarantiner) countLosses(now time.Time, s *suspicion) int {
 	n := 0
 	for run, until := range s.runs {
 		if !now.Before(until) {
@@ -163,14 +167,14 @@
 }
 
 func (q *Quarantiner) sweep(now time.Time) {
-	for f, s := range q.cases {
-		if q.recent(now, s) == 0 && !now.Before(s.until) {
-			delete(q.cases, f)
+	for f, s := range q.suspicions {
+		if q.countLosses(now, s) == 0 && !now.Before(s.refusedUntil) {
+			delete(q.suspicions, f)
 		}
 	}
 }
 
-// Sweep forgets what no longer counts; call it now and then.
+// Sweep removes the requests whose losses and refusal have expired. It must be called regularly.
 func (q *Quarantiner) Sweep(now time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
