--- a/core/retrier/retrier.go
+++ b/core/retrier/retrier.go
@@ -1,73 +1,75 @@
-// Package retrier decides whether a failed attempt may be tried again. Retries are paid from a budget
-// that successes fill, so that an outage does not multiply its own load.
+// Package retrier decides whether a failed attempt may be retried. Retries are taken from a budget that successes fill,
+// so that retries do not multiply the load of an outage.
 package retrier
 
 import "sync"
 
 const (
-	// earn is what one success adds, in thousandths of a retry: retries stay under a tenth of successes.
-	earn = 100
-	cost = 1000
-	// most bounds what a long calm can save up, and the budget starts with it.
-	most = 10 * cost
+	// creditPerSuccess is what one success adds, in thousandths of a retry: retries stay under a tenth of the successes.
+	creditPerSuccess = 100
+	retryCost        = 1000
+	// maxCredit bounds the credit that successes accumulate; the budget starts with it.
+	maxCredit = 10 * retryCost
 )
 
-// Budget is shared by all requests of a service. Its zero value is empty; New fills it.
+// Budget is a retry budget that all requests of a service share. Its zero value is empty; New returns a full one. It is
+// safe for concurrent use.
 type Budget struct {
-	mu    sync.Mutex
-	saved int
+	mu     sync.Mutex
+	credit int
 }
 
 // New returns a full budget.
-func New() *Budget { return &Budget{saved: most} }
+func New() *Budget { return &Budget{credit: maxCredit} }
 
-// RecordSuccess records a success.
+// RecordSuccess adds the credit of one success.
 func (b *Budget) RecordSuccess() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.saved = min(most, b.saved+earn)
+	b.credit = min(maxCredit, b.credit+creditPerSuccess)
 }
 
-// Spend pays for one retry if the budget allows it.
+// Spend takes one retry from the budget and reports whether the budget allowed it.
 func (b *Budget) Spend() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.saved < cost {
+	if b.credit < retryCost {
 		return false
 	}
-	b.saved -= cost
+	b.credit -= retryCost
 	return true
 }
 
 // Ending is how an attempt ended.
 type Ending int
 
-// The endings of an attempt.
+// The ways in which an attempt can end.
 const (
-	// Answered: the target answered.
+	// Answered means that the target answered.
 	Answered Ending = iota
-	// Unrun: the target certainly did not run the request.
+	// Unrun means that the target certainly did not run the request.
 	Unrun
-	// Unknown: the connection failed after something was sent.
+	// Unknown means that the connection failed after something was sent, so that the target may have run the request.
 	Unknown
 )
 
-// Attempt is what is known of a failed attempt.
+// Attempt describes a failed attempt.
 type Attempt struct {
 	Ending Ending
-	// Idempotent requests may run more than once.
+	// Idempotent is set if the request may run more than once.
 	Idempotent bool
-	// Replayable requests still have their whole body at hand.
+	// Replayable is set if the whole request body is still available.
 	Replayable bool
-	// Suspect requests were in flight when a target died.
+	// Suspect is set if the request was in flight when a target crashed.
 	Suspect bool
-	Tries   int
+	// Tries is the number of attempts so far, this one included.
+	Tries int
 }
 
 // MaxTries bounds the attempts of one request, the first included.
 const MaxTries = 3
 
-// AllowRetry decides about another attempt and pays for it.
+// AllowRetry reports whether a failed attempt may be retried, and takes the retry from the budget if so.
 func (b *Budget) AllowRetry(a Attempt) bool {
 	if a.Ending == Answered || a.Tries >= MaxTries || !a.Replayable {
 		return false
--- a/core/retrier/retrier_test.go
+++ b/core/retrier/retrier_test.go
@@ -6,7 +6,7 @@
 	"github.com/matryer/is"
 )
 
-func TestWhatMayBeTriedAgain(t *testing.T) {
+func TestAllowRetry(t *testing.T) {
 	cases := []struct {
 		name string
 		a    Attempt
@@ -17,8 +17,8 @@
 		{"unknown and idempotent", Attempt{Ending: Unknown, Idempotent: true, Replayable: true, Tries: 1}, true},
 		{"unknown and not idempotent", Attempt{Ending: Unknown, Replayable: true, Tries: 1}, false},
 		{"suspect", Attempt{Ending: Unknown, Idempotent: true, Replayable: true, Suspect: true, Tries: 1}, false},
-		{"body gone", Attempt{Ending: Unrun, Tries: 1}, false},
-		{"too often", Attempt{Ending: Unrun, Replayable: true, Tries: MaxTries}, false},
+		{"body not available", Attempt{Ending: Unrun, Tries: 1}, false},
+		{"at the limit of attempts", Attempt{Ending: Unrun, Replayable: true, Tries: MaxTries}, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -27,8 +27,8 @@
 	}
 }
 
-// All targets fail for a while. Retries without a budget would multiply the load by the number of tries
-// just when there is least room, and keep the outage going after its cause has ended.
+// All targets fail for some time. Retries without a budget would multiply the load by the number of attempts when there
+// is least capacity, and prolong the outage after its cause has ended.
 func TestOutageDoesNotMultiplyLoad(t *testing.T) {
 	is := is.New(t)
 	b := New()
@@ -38,12 +38,12 @@
 			retries++
 		}
 	}
-	is.Equal(retries, 10) // what a calm had saved up
+	is.Equal(retries, 10) // the credit of a full budget
 	for range 1000 {
 		b.RecordSuccess()
 		if b.AllowRetry(Attempt{Ending: Unrun, Replayable: true, Tries: 1}) {
 			retries++
 		}
 	}
-	is.True(retries <= 110) // a tenth of the successes
+	is.True(retries <= 110) // the full budget and a tenth of the successes
 }
