--- a/core/budgeter/budgeter.go
+++ b/core/budgeter/budgeter.go
@@ -1,54 +1,57 @@
-// Package budgeter bounds the repeats that reach a service's targets, as a part of the requests for it. It answers
-// the retry storm: when targets fail, every instance sends again, and the repeats bring down what still works.
+// Package budgeter bounds the retries that reach a service's targets to a fraction of its requests. It prevents retry
+// storms: when targets fail, every instance retries, and the retries overload the targets that still work.
 package budgeter
 
 import "time"
 
 const (
-	// window is the span over which repeats and requests are counted.
+	// window is the time over which retries and requests are counted.
 	window = 10 * time.Second
-	// ratio is how many repeats are paid by one request. All instances together may repeat a fifth; half of that
-	// leaves room for the difference between what an instance counts and what arrives.
+	// ratio is how many retries each request allows. All instances together may retry a fifth of the requests; half of
+	// that leaves a margin for the difference between what an instance counts and what reaches the targets.
 	ratio = 0.1
-	// slack is how many repeats all instances together have beyond the ratio, in a window.
-	slack = 24
-	parts = 10
+	// slack is how many retries per window all instances together may send beyond the ratio.
+	slack   = 24
+	// buckets is the number of parts into which the window is divided.
+	buckets = 10
 )
 
-// Budget counts one service's requests and repeats at one instance, in tenths of the window. Its zero value is
-// ready; it is not safe for concurrent use.
+// Budget counts one service's requests and retries at one instance. Its zero value is ready to use. It is not safe for
+// concurrent use.
 type Budget struct {
-	asked   [parts]float64
-	spent   [parts]float64
-	current int64
+	requests [buckets]float64
+	retries  [buckets]float64
+	current  int64
 }
 
-// RecordRequest notes a request.
+// RecordRequest counts a request.
 func (b *Budget) RecordRequest(now time.Time) {
 	b.advance(now)
-	b.asked[b.current%parts]++
+	b.requests[b.current%buckets]++
 }
 
-// Spend pays for one repeat where the window allows it; entries is how many instances share the slack.
-func (b *Budget) Spend(now time.Time, entries int) bool {
+// Spend counts one retry if the window allows it, and reports whether it did. instances is how many entry instances
+// share the slack.
+func (b *Budget) Spend(now time.Time, instances int) bool {
 	b.advance(now)
-	if sum(b.spent)+1 > ratio*sum(b.asked)+slack/float64(max(1, entries)) {
+	if sum(b.retries)+1 > ratio*sum(b.requests)+slack/float64(max(1, instances)) {
 		return false
 	}
-	b.spent[b.current%parts]++
+	b.retries[b.current%buckets]++
 	return true
 }
 
+// advance moves the window to a time and clears the buckets that leave it.
 func (b *Budget) advance(now time.Time) {
-	part := now.UnixNano() / int64(window/parts)
-	for n := int64(0); b.current < part && n < parts; n++ {
-		b.current = max(b.current+1, part-parts+1)
-		b.asked[b.current%parts], b.spent[b.current%parts] = 0, 0
+	bucket := now.UnixNano() / int64(window/buckets)
+	for n := int64(0); b.current < bucket && n < buckets; n++ {
+		b.current = max(b.current+1, bucket-buckets+1)
+		b.requests[b.current%buckets], b.retries[b.current%buckets] = 0, 0
 	}
-	b.current = max(b.current, part)
+	b.current = max(b.current, bucket)
 }
 
-func sum(list [parts]float64) float64 {
+func sum(list [buckets]float64) float64 {
 	out := 0.0
 	for _, n := range list {
 		out += n
--- a/core/budgeter/budgeter_test.go
+++ b/core/budgeter/budgeter_test.go
@@ -7,13 +7,13 @@
 	"github.com/matryer/is"
 )
 
-// Half of a service's targets fail at once, and every instance sends what failed again. All of them together must
-// stay under a fifth of the requests and what is allowed beyond, in every ten seconds, also while requests begin and end.
-func TestRepeatsOfAllInstancesStayUnderTheirPart(t *testing.T) {
+// Half of a service's targets fail at once, and every instance retries what failed. In every ten seconds, the retries of
+// all instances together must stay below a fifth of the requests plus the slack, also while requests start and end.
+func TestRetriesOfAllInstancesStayWithinBudget(t *testing.T) {
 	const instances, perTick = 12, 3
 	budgets := make([]Budget, instances)
 	now := time.Unix(1000, 0)
-	var asked, spent []int
+	var requests, retries []int
 	for tick := range 600 {
 		a, s := 0, 0
 		for i := range budgets {
@@ -27,25 +27,25 @@
 				}
 			}
 		}
-		asked, spent = append(asked, a), append(spent, s)
+		requests, retries = append(requests, a), append(retries, s)
 		now = now.Add(100 * time.Millisecond)
 	}
 	is := is.New(t)
-	for at := 100; at < len(asked); at++ {
+	for at := 100; at < len(requests); at++ {
 		a, s := 0, 0
 		for i := at - 100; i < at; i++ {
-			a += asked[i]
-			s += spent[i]
+			a += requests[i]
+			s += retries[i]
 		}
-		before := 0
+		previous := 0
 		for i := max(0, at-200); i < at-100; i++ {
-			before += asked[i]
+			previous += requests[i]
 		}
-		is.True(float64(s) <= 0.2*float64(max(a, before))+56)
+		is.True(float64(s) <= 0.2*float64(max(a, previous))+56)
 	}
 }
 
-func TestBudgetForgets(t *testing.T) {
+func TestBudgetIsRestoredAfterWindow(t *testing.T) {
 	is := is.New(t)
 	var b Budget
 	now := time.Unix(1000, 0)
