--- a/core/tuner/tuner.go
+++ b/core/tuner/tuner.go
@@ -1,54 +1,56 @@
-// Package tuner finds how many requests of a service this instance may run at once, without knowing what
-// the other instances do: it grows slowly while all goes well and shrinks when targets shed load.
+// Package tuner adapts the number of requests of a service that this instance may run concurrently, without knowledge of
+// the other instances: the limit grows slowly while requests succeed and shrinks when targets shed load.
 package tuner
 
 import "time"
 
 const (
-	// shrinkPercent is what remains after targets shed load.
+	// shrinkPercent is the part of the limit that remains after targets shed load.
 	shrinkPercent = 85
 	percent       = 100
-	// calm is how long one shrink holds, so that a burst of refusals counts once.
-	calm = 200 * time.Millisecond
-	// scale keeps fractions in integers.
+	// shrinkInterval is the least time between two decreases, so that a burst of refusals counts once.
+	shrinkInterval = 200 * time.Millisecond
+	// scale is the number of units per request: limits are kept in thousandths of a request.
 	scale = 1000
 )
 
-// Tuner holds one limit. Its zero value has none; call Bound.
+// Tuner holds one limit. Its zero value has no limit set; call SetBounds first. It is not safe for concurrent use.
 type Tuner struct {
-	limit int64
-	low   int64
-	high  int64
-	// shrinkAt is from when the limit may shrink again.
-	shrinkAt time.Time
+	limit   int64
+	minimum int64
+	maximum int64
+	// nextShrink is the earliest time at which the limit may shrink again.
+	nextShrink time.Time
 }
 
-// SetBounds sets the range: share is this instance's even part of all slots, most is all of them.
-func (t *Tuner) SetBounds(share, most int) {
-	t.low = scale
-	t.high = int64(max(1, most)) * scale
+// SetBounds sets the range of the limit, from one request to highest. share is this instance's even part of the
+// service's slots; the first call sets the limit to it.
+func (t *Tuner) SetBounds(share, highest int) {
+	t.minimum = scale
+	t.maximum = int64(max(1, highest)) * scale
 	if t.limit == 0 {
 		t.limit = int64(max(1, share)) * scale
 	}
-	t.limit = min(max(t.limit, t.low), t.high)
+	t.limit = min(max(t.limit, t.minimum), t.maximum)
 }
 
-// Limit returns the limit in force.
+// Limit returns the current limit in requests.
 func (t *Tuner) Limit() int { return int(t.limit / scale) }
 
-// RecordSuccess grows the limit by about one for each time that a full set of requests went well.
+// RecordSuccess records a success; full says whether the limit was in use. Successes at the limit raise it by about one
+// request for each limit's worth of them.
 func (t *Tuner) RecordSuccess(full bool) {
 	if !full || t.limit == 0 {
 		return
 	}
-	t.limit = min(t.high, t.limit+scale*scale/t.limit)
+	t.limit = min(t.maximum, t.limit+scale*scale/t.limit)
 }
 
-// RecordShed shrinks the limit after a target refused work.
+// RecordShed lowers the limit after a target shed load, at most once per shrinkInterval.
 func (t *Tuner) RecordShed(now time.Time) {
-	if now.Before(t.shrinkAt) {
+	if now.Before(t.nextShrink) {
 		return
 	}
-	t.shrinkAt = now.Add(calm)
-	t.limit = max(t.low, t.limit*shrinkPercent/percent)
+	t.nextShrink = now.Add(shrinkInterval)
+	t.limit = max(t.minimum, t.limit*shrinkPercent/percent)
 }
--- a/core/tuner/tuner_test.go
+++ b/core/tuner/tuner_test.go
@@ -19,7 +19,7 @@
 		}
 		is.Equal(l.Limit(), 8)
 	})
-	t.Run("grows only while full, up to the most", func(t *testing.T) {
+	t.Run("grows only while full, up to the maximum", func(t *testing.T) {
 		is := is.New(t)
 		for range 1000 {
 			l.RecordSuccess(false)
