--- a/core/messenger/hops.go
+++ b/core/messenger/hops.go
@@ -6,13 +6,13 @@
 	"strings"
 )
 
-// hopHeaders concern one connection and are not passed on.
+// hopHeaders are the hop-by-hop headers, which concern one connection and are not forwarded.
 var hopHeaders = []string{
 	"Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// RemoveHopHeaders takes out what concerns one connection only, the headers that Connection names included.
+// RemoveHopHeaders removes the hop-by-hop headers, including those that Connection lists.
 func RemoveHopHeaders(h http.Header) {
 	for _, list := range h["Connection"] {
 		for _, name := range strings.Split(list, ",") {
--- a/core/messenger/messenger.go
+++ b/core/messenger/messenger.go
@@ -1,5 +1,5 @@
-// Package messenger holds what the system reads from and writes to the messages of callers and targets, apart from
-// how it is spelled on the wire.
+// Package messenger defines the information that the system reads from and writes to the messages of callers and
+// targets, independent of their format on the wire.
 package messenger
 
 import (
@@ -8,37 +8,37 @@
 	"time"
 )
 
-// Call is what a caller's request says of itself.
+// Call is the routing information in a caller's request.
 type Call struct {
-	// ID identifies this one attempt of the caller.
+	// ID identifies this attempt of the caller.
 	ID string
-	// Deadline is until when the caller waits; zero if it did not say.
+	// Deadline is until when the caller waits; zero if the request sets none.
 	Deadline time.Time
 	// Key groups requests that concern one object; empty for none.
 	Key string
-	// Secret shows whose request it is; empty for none. It goes to no target and into no log.
+	// Secret authenticates the caller's organisation; empty for none. It must not be forwarded to targets or logged.
 	Secret string
 }
 
-// Destination is whom a request is passed on to.
+// Destination is the target that a request is forwarded to, with the information it gets about the caller.
 type Destination struct {
-	// Target is the one that may run it.
+	// Target is the name of the only target that may run the request.
 	Target string
-	// Organisation is the caller's, empty if it is not known.
+	// Organisation is the caller's organisation, empty if it is not known.
 	Organisation string
-	// Deadline is until when the target may work on it.
+	// Deadline is until when the target may work on the request.
 	Deadline time.Time
 }
 
-// Load is a target's own report of its work.
+// Load is a target's report of its own load: running and waiting requests, and slots.
 type Load struct {
 	Running int32
 	Waiting int32
 	Slots   int32
 }
 
-// PerSlot is the load beside the request that the report came with, in requests per slot; false if there is no report of
-// use.
+// PerSlot returns the load without the request that the report came with, in requests per slot. It is false if there is
+// no report or the report has no slots.
 func (l *Load) PerSlot() (float64, bool) {
 	if l == nil || l.Slots <= 0 {
 		return 0, false
@@ -46,7 +46,7 @@
 	return float64(max(0, l.Running+l.Waiting-1)) / float64(l.Slots), true
 }
 
-// String writes the load for logs.
+// String formats the load for logs as running+waiting/slots.
 func (l *Load) String() string {
 	if l == nil {
 		return ""
@@ -54,24 +54,24 @@
 	return fmt.Sprintf("%d+%d/%d", l.Running, l.Waiting, l.Slots)
 }
 
-// Reply is what a target's answer says of itself.
+// Reply is the information about a request in a target's response.
 type Reply struct {
-	// ID is the call that the answer belongs to.
+	// ID is the ID of the call that the response belongs to.
 	ID string
-	// Signed is set where the answer bears the target's signature.
+	// Signed is set if the response has the target's signature.
 	Signed bool
-	// Unrun is the target's word that it did not run the request.
+	// Unrun is set if the target reports that it did not run the request.
 	Unrun bool
-	// Load is nil where the answer does not report it.
+	// Load is the target's load; nil if the response does not report it.
 	Load *Load
 }
 
-// Codec spells calls and replies on one interface.
+// Codec reads and writes calls and replies in the format of one interface.
 type Codec interface {
-	// Call reads a caller's request.
+	// Call reads the routing information from a caller's request; now is the time that relative deadlines start at.
 	Call(r *http.Request, now time.Time) (Call, error)
-	// SetTargetHeaders writes into a request's header whom it is for, and takes out what the target must not see.
+	// SetTargetHeaders writes the destination into a request's header and removes what the target must not receive.
 	SetTargetHeaders(h http.Header, to Destination, now time.Time)
-	// Reply reads the head of a target's answer.
+	// Reply reads the status and header of a target's response.
 	Reply(status int, h http.Header) Reply
 }
