--- a/core/mapper/mapper.go
+++ b/core/mapper/mapper.go
@@ -1,4 +1,4 @@
-// Package mapper maps client addresses to sites by a compact sorted table of blocks.
+// Package mapper maps client addresses to sites with a compact sorted table of address blocks.
 package mapper
 
 import (
@@ -8,20 +8,20 @@
 	"sort"
 )
 
-// Site is an index into whatever list the caller keeps.
+// Site is an index into a list that the caller keeps.
 type Site uint16
 
 // None means that no block covers an address.
 const None Site = 0xffff
 
-// Block says which site is nearest to a block of addresses.
+// Block assigns the nearest site to a block of addresses.
 type Block struct {
 	Prefix netip.Prefix
 	Site   Site
 }
 
-// Table is immutable. It holds the start of every stretch of addresses of one site: 6 bytes for IPv4,
-// 10 for IPv6, of which only the upper 64 bits are looked at.
+// Table maps addresses to sites. It is immutable and holds the start of every range of addresses of one site, in 6 bytes
+// for IPv4 and 10 bytes for IPv6, of which only the upper 64 bits are compared.
 type Table struct {
 	starts4 []uint32
 	sites4  []Site
@@ -30,7 +30,7 @@
 	index4  []int32
 }
 
-// indexBits is how many leading bits of an IPv4 address pick the part of the table to search.
+// indexBits is the number of leading bits of an IPv4 address that select the part of the table to search.
 const (
 	indexBits  = 16
 	ipv4Bits   = 32
@@ -38,15 +38,15 @@
 	upperBits  = 64
 )
 
-// Build makes a table. Where blocks nest, the longest one that covers an address wins.
+// Build returns the table of the given blocks. Where blocks are nested, the longest prefix that covers an address wins.
 func Build(blocks []Block) *Table {
-	var four, six []span
+	var ipv4Spans, ipv6Spans []span
 	for _, b := range blocks {
 		p := b.Prefix.Masked()
 		if p.Addr().Is4() {
 			first := uint64(binary.BigEndian.Uint32(p.Addr().AsSlice()))
 			size := uint64(1) << (ipv4Bits - p.Bits())
-			four = append(four, span{first, first + size - 1, p.Bits(), b.Site})
+			ipv4Spans = append(ipv4Spans, span{first, first + size - 1, p.Bits(), b.Site})
 			continue
 		}
 		bytes := p.Addr().As16()
@@ -56,14 +56,14 @@
 		if bits < upperBits {
 			last = first | (1<<(upperBits-bits) - 1)
 		}
-		six = append(six, span{first, last, bits, b.Site})
+		ipv6Spans = append(ipv6Spans, span{first, last, bits, b.Site})
 	}
 	t := &Table{}
-	for _, s := range flatten(four, math.MaxUint32) {
+	for _, s := range flatten(ipv4Spans, math.MaxUint32) {
 		t.starts4 = append(t.starts4, uint32(s.first))
 		t.sites4 = append(t.sites4, s.site)
 	}
-	for _, s := range flatten(six, math.MaxUint64) {
+	for _, s := range flatten(ipv6Spans, math.MaxUint64) {
 		t.starts6 = append(t.starts6, s.first)
 		t.sites6 = append(t.sites6, s.site)
 	}
@@ -71,6 +71,7 @@
 	return t
 }
 
+// span is a range of addresses with the length of its prefix in bits.
 type span struct {
 	first uint64
 	last  uint64
@@ -78,8 +79,8 @@
 	site  Site
 }
 
-// flatten turns nested blocks into stretches that follow each other; each lasts until the next starts.
-func flatten(spans []span, most uint64) []span {
+// flatten turns nested blocks into consecutive ranges; each ends where the next starts.
+func flatten(spans []span, lastAddress uint64) []span {
 	sort.Slice(spans, func(i, j int) bool {
 		if spans[i].first != spans[j].first {
 			return spans[i].first < spans[j].first
@@ -87,7 +88,7 @@
 		return spans[i].bits < spans[j].bits
 	})
 	var out []span
-	var open []span
+	var enclosing []span
 	emit := func(first uint64, site Site) {
 		if n := len(out); n > 0 && out[n-1].first == first {
 			out[n-1].site = site
@@ -99,16 +100,16 @@
 		out = append(out, span{first: first, site: site})
 	}
 	closeBefore := func(limit uint64, all bool) {
-		for len(open) > 0 && (all || open[len(open)-1].last < limit) {
-			end := open[len(open)-1].last
-			open = open[:len(open)-1]
-			if end == most {
-				// Nothing follows the last address; one past it would wrap around to the first.
+		for len(enclosing) > 0 && (all || enclosing[len(enclosing)-1].last < limit) {
+			end := enclosing[len(enclosing)-1].last
+			enclosing = enclosing[:len(enclosing)-1]
+			if end == lastAddress {
+				// No address follows the last one; its successor would wrap around to the first.
 				continue
 			}
 			site := None
-			if n := len(open); n > 0 {
-				site = open[n-1].site
+			if n := len(enclosing); n > 0 {
+				site = enclosing[n-1].site
 			}
 			emit(end+1, site)
 		}
@@ -116,7 +117,7 @@
 	for _, s := range spans {
 		closeBefore(s.first, false)
 		emit(s.first, s.site)
-		open = append(open, s)
+		enclosing = append(enclosing, s)
 	}
 	closeBefore(0, true)
 	return out
@@ -134,10 +135,10 @@
 	}
 }
 
-// Len returns how many stretches the table holds.
+// Len returns the number of address ranges in the table.
 func (t *Table) Len() int { return len(t.starts4) + len(t.starts6) }
 
-// Find returns the site of an address, or None.
+// Find returns the site of an address, or None if no block covers it.
 func (t *Table) Find(address netip.Addr) Site {
 	address = address.Unmap()
 	if address.Is4() {
@@ -145,20 +146,20 @@
 		return t.find4(binary.BigEndian.Uint32(bytes[:]))
 	}
 	bytes := address.As16()
-	want := binary.BigEndian.Uint64(bytes[:upperBytes])
-	at := sort.Search(len(t.starts6), func(i int) bool { return t.starts6[i] > want })
+	upper := binary.BigEndian.Uint64(bytes[:upperBytes])
+	at := sort.Search(len(t.starts6), func(i int) bool { return t.starts6[i] > upper })
 	if at == 0 {
 		return None
 	}
 	return t.sites6[at-1]
 }
 
-func (t *Table) find4(want uint32) Site {
-	part := want >> (ipv4Bits - indexBits)
-	low, high := int(t.index4[part]), int(t.index4[part+1])
+func (t *Table) find4(address uint32) Site {
+	prefix := address >> (ipv4Bits - indexBits)
+	low, high := int(t.index4[prefix]), int(t.index4[prefix+1])
 	for low < high {
 		middle := (low + high) / 2
-		if t.starts4[middle] <= want {
+		if t.starts4[middle] <= address {
 			low = middle + 1
 		} else {
 			high = middle
--- a/core/mapper/mapper_test.go
+++ b/core/mapper/mapper_test.go
@@ -8,8 +8,8 @@
 	"github.com/matryer/is"
 )
 
-// longest is the naive table: it looks at every block.
-func longest(blocks []Block, a netip.Addr) Site {
+// longestMatch is a naive look-up that compares every block.
+func longestMatch(blocks []Block, a netip.Addr) Site {
 	best, bits := None, -1
 	for _, b := range blocks {
 		if b.Prefix.Contains(a) && b.Prefix.Bits() >= bits {
@@ -26,8 +26,8 @@
 		bytes := [4]byte{10, byte(random.IntN(4)), byte(random.IntN(256)), byte(random.IntN(256))}
 		p := netip.PrefixFrom(netip.AddrFrom4(bytes), 8+random.IntN(25)).Masked()
 		if random.IntN(4) == 0 {
-			wide := [16]byte{0x20, 1, byte(random.IntN(2)), byte(random.IntN(4)), 0, 0, byte(random.IntN(2))}
-			p = netip.PrefixFrom(netip.AddrFrom16(wide), 16+random.IntN(49)).Masked()
+			bytes6 := [16]byte{0x20, 1, byte(random.IntN(2)), byte(random.IntN(4)), 0, 0, byte(random.IntN(2))}
+			p = netip.PrefixFrom(netip.AddrFrom16(bytes6), 16+random.IntN(49)).Masked()
 		}
 		if !seen[p] {
 			seen[p] = true
@@ -52,14 +52,14 @@
 		table := Build(blocks)
 		for range 200 {
 			a := randomAddress(random)
-			is.Equal(table.Find(a), longest(blocks, a)) // seed and address decide
+			is.Equal(table.Find(a), longestMatch(blocks, a)) // the seed and the address identify a failure
 		}
 	}
 }
 
-// A block ends with the very last address. The table once wrapped around there, and clients at both ends of
+// A block ends with the last address of the address space. The table wrapped around there, and clients at both ends of
 // the address space were sent to the wrong region.
-func TestEdges(t *testing.T) {
+func TestEndsOfAddressSpace(t *testing.T) {
 	is := is.New(t)
 	table := Build([]Block{
 		{netip.MustParsePrefix("0.0.0.0/0"), 1},
@@ -72,8 +72,8 @@
 	is.Equal(Build(nil).Find(netip.MustParseAddr("1.2.3.4")), None)
 }
 
-// Full builds a table of as many /24 blocks as the target has.
-func full(n int) *Table {
+// largeTable builds a table of n /24 blocks. The benchmark uses as many as the system must support.
+func largeTable(n int) *Table {
 	random := rand.New(rand.NewPCG(1, 8))
 	blocks := make([]Block, n)
 	for i := range blocks {
@@ -84,7 +84,7 @@
 }
 
 func BenchmarkFind(b *testing.B) {
-	table := full(3_100_000)
+	table := largeTable(3_100_000)
 	random := rand.New(rand.NewPCG(2, 9))
 	b.ReportAllocs()
 	for b.Loop() {
