--- a/core/securer/securer.go
+++ b/core/securer/securer.go
@@ -1,4 +1,4 @@
-// Package securer makes TLS configurations whose certificates are read again when their files change.
+// Package securer makes TLS configurations that reload their certificates when the files change.
 package securer
 
 import (
@@ -10,62 +10,65 @@
 	"time"
 )
 
-// Files names the PEM files of one side. An empty Certificate means no TLS.
+// Files holds the paths of the PEM files of one side of a connection. An empty Certificate means no TLS.
 type Files struct {
 	Certificate string
 	Key         string
-	// Authority verifies the other side; on a listener it makes client certificates mandatory.
+	// Authority holds the certificates that verify the other side; on a listener it makes client certificates mandatory.
 	Authority string
 }
 
-// Enabled reports whether TLS is set.
+// Enabled reports whether TLS is used.
 func (f Files) Enabled() bool { return f.Certificate != "" }
 
-// Keys holds a certificate that follows its files.
+// Keys holds a certificate with its key and reloads them when the certificate file changes. It is safe for concurrent
+// use once Files is set.
 type Keys struct {
 	Files Files
 
 	mu     sync.Mutex
 	loaded *tls.Certificate
-	stamp  time.Time
+	// modified is the modification time of the loaded certificate file.
+	modified time.Time
 }
 
-// Check reads all files once, so that a wrong path is found before start.
+// Check reads all files once, so that a wrong path is reported before the program starts. The error is a *FileError.
 func (k *Keys) Check() error {
 	if !k.Files.Enabled() {
 		return nil
 	}
-	if _, err := k.current(); err != nil {
+	if _, err := k.certificate(); err != nil {
 		return err
 	}
-	_, err := k.pool()
+	_, err := k.authorities()
 	return err
 }
 
-// current returns the certificate on disk. Until a changed pair can be read whole the former one stays
-// in use: a renewal that writes two files must not refuse callers in between.
-func (k *Keys) current() (*tls.Certificate, error) {
+// certificate returns the certificate on disk. Until a changed pair of files can be read, the former certificate stays in
+// use: connections must not fail while a renewal has written only one of the two files.
+func (k *Keys) certificate() (*tls.Certificate, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	info, err := os.Stat(k.Files.Certificate)
-	if err == nil && k.loaded != nil && info.ModTime().Equal(k.stamp) {
+	if err == nil && k.loaded != nil && info.ModTime().Equal(k.modified) {
 		return k.loaded, nil
 	}
-	pair, loadErr := tls.LoadX509KeyPair(k.Files.Certificate, k.Files.Key)
+	certificate, loadErr := tls.LoadX509KeyPair(k.Files.Certificate, k.Files.Key)
 	if loadErr != nil {
 		if k.loaded != nil {
 			return k.loaded, nil
 		}
 		return nil, &FileError{Path: k.Files.Certificate, Cause: loadErr}
 	}
-	k.loaded = &pair
+	k.loaded = &certificate
 	if err == nil {
-		k.stamp = info.ModTime()
+		k.modified = info.ModTime()
 	}
 	return k.loaded, nil
 }
 
-func (k *Keys) pool() (*x509.CertPool, error) {
+// authorities returns the certificates that verify the other side, or nil if none are set.
+func (k *Keys) authorities() (*x509.CertPool, error) {
 	if k.Files.Authority == "" {
 		return nil, nil
 	}
@@ -88,14 +91,14 @@
 	if err := k.Check(); err != nil {
 		return nil, err
 	}
-	pool, err := k.pool()
+	pool, err := k.authorities()
 	if err != nil {
 		return nil, err
 	}
 	config := &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
-			return k.current()
+			return k.certificate()
 		},
 	}
 	if pool != nil {
@@ -113,7 +116,7 @@
 	if err := k.Check(); err != nil {
 		return nil, err
 	}
-	pool, err := k.pool()
+	pool, err := k.authorities()
 	if err != nil {
 		return nil, err
 	}
@@ -121,12 +124,12 @@
 		MinVersion: tls.VersionTLS13,
 		RootCAs:    pool,
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
-			return k.current()
+			return k.certificate()
 		},
 	}, nil
 }
 
-// FileError says which certificate file could not be used.
+// FileError reports a certificate file that could not be used.
 type FileError struct {
 	Path  string
 	Cause error
--- a/core/securer/securer_test.go
+++ b/core/securer/securer_test.go
@@ -21,8 +21,8 @@
 	"github.com/matryer/is"
 )
 
-// write makes a self-signed certificate with a serial number, and its key.
-func write(t *testing.T, folder string, serial int64) Files {
+// writeCertificate writes a self-signed certificate with a serial number, and its key.
+func writeCertificate(t *testing.T, folder string, serial int64) Files {
 	t.Helper()
 	is := is.New(t)
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -45,7 +45,7 @@
 	return f
 }
 
-// serve answers on an address until the test ends.
+// serve starts a server, which runs until the test ends, and returns its address.
 func serve(t *testing.T, k *Keys) string {
 	t.Helper()
 	is := is.New(t)
@@ -59,8 +59,8 @@
 	return l.Addr().String()
 }
 
-// serial calls the server and returns the serial number of its certificate.
-func serial(t *testing.T, address string, k *Keys) int64 {
+// peerSerial connects to the server and returns the serial number of its certificate.
+func peerSerial(t *testing.T, address string, k *Keys) int64 {
 	t.Helper()
 	is := is.New(t)
 	config, err := k.ClientConfig()
@@ -71,25 +71,25 @@
 	return conn.ConnectionState().PeerCertificates[0].SerialNumber.Int64()
 }
 
-func TestCertificatesAreReadAgain(t *testing.T) {
+func TestChangedCertificateIsReloaded(t *testing.T) {
 	is := is.New(t)
 	folder := t.TempDir()
-	server := &Keys{Files: write(t, folder, 1)}
+	server := &Keys{Files: writeCertificate(t, folder, 1)}
 	s := serve(t, server)
-	is.Equal(serial(t, s, &Keys{Files: server.Files}), int64(1))
-	write(t, folder, 2)
+	is.Equal(peerSerial(t, s, &Keys{Files: server.Files}), int64(1))
+	writeCertificate(t, folder, 2)
 	later := time.Now().Add(time.Minute)
 	is.NoErr(os.Chtimes(server.Files.Certificate, later, later))
-	is.Equal(serial(t, s, &Keys{Files: server.Files}), int64(2)) // without a restart
+	is.Equal(peerSerial(t, s, &Keys{Files: server.Files}), int64(2)) // the server was not restarted
 }
 
-// A process without a certificate of the authority calls. Let in, it could claim to be an entry instance
+// A process without a certificate of the authority connects. If it were accepted, it could claim to be an entry instance
 // and take other instances' shares.
-func TestStrangersAreRefused(t *testing.T) {
+func TestClientWithoutCertificateIsRefused(t *testing.T) {
 	is := is.New(t)
-	s := serve(t, &Keys{Files: write(t, t.TempDir(), 1)})
+	s := serve(t, &Keys{Files: writeCertificate(t, t.TempDir(), 1)})
 	client := &http.Client{Transport: &http.Transport{
-		TLSClientConfig: &tls.Config{InsecureSkipVerify: true}, //nolint:gosec // the stranger trusts anyone
+		TLSClientConfig: &tls.Config{InsecureSkipVerify: true}, //nolint:gosec // the client accepts any certificate
 	}}
 	response, err := client.Get("https://" + s)
 	if err == nil {
@@ -98,7 +98,7 @@
 	is.True(err != nil)
 }
 
-func TestWrongFilesAreFoundBeforeStart(t *testing.T) {
+func TestCheckReportsMissingFiles(t *testing.T) {
 	is := is.New(t)
 	k := &Keys{Files: Files{Certificate: "/nonexistent", Key: "/nonexistent"}}
 	is.True(k.Check() != nil)
