--- a/core/dialer/dialer.go
+++ b/core/dialer/dialer.go
@@ -1,4 +1,4 @@
-// Package dialer makes the HTTP clients for calls between the system's own processes.
+// Package dialer makes HTTP clients for calls between the system's own processes.
 package dialer
 
 import (
@@ -12,42 +12,43 @@
 )
 
 const (
-	dialIdle = 90 * time.Second
-	// dialTimeout bounds the opening of a connection; the opening packet may be lost once and is sent again after
-	// a second.
-	dialTimeout = 1500 * time.Millisecond
-	perTarget   = 16
-	// probeIdle and probeAnswer close a connection that went silent: without them a flow that something
-	// between the two ends forgot would swallow every call until the kernel gives up, minutes later.
-	probeIdle   = 2 * time.Second
-	probeAnswer = 2 * time.Second
+	idleTimeout = 90 * time.Second
+	// dialTimeout bounds the opening of a connection. It allows for one lost SYN packet, which is retransmitted after a
+	// second.
+	dialTimeout    = 1500 * time.Millisecond
+	maxIdlePerHost = 16
+	// pingAfter and pingTimeout close a connection that receives nothing. Without them, every call on a connection whose
+	// state was lost between the two ends would get no response until the kernel times out, minutes later.
+	pingAfter   = 2 * time.Second
+	pingTimeout = 2 * time.Second
 )
 
-// MinCompressedSize is from how many bytes on an answer between processes is compressed. Below it, preparing a compressor
-// costs more time than the answer itself.
+// MinCompressedSize is the size in bytes from which a response between processes is compressed. For smaller responses,
+// setting up a compressor takes more time than sending the response.
 const MinCompressedSize = 4 << 10
 
-// Dialer makes clients that share one pool. Set Keys before use.
+// Dialer makes clients for calls to other processes. Set the fields before use.
 type Dialer struct {
+	// Keys secures the connections by TLS; nil means no TLS.
 	Keys *securer.Keys
-	// HTTP1Only makes one connection carry one call at a time, by HTTP/1.1. A call that gets no answer in time then
-	// closes its connection, and the next one opens another: a connection that something in between forgot costs
-	// one call, where a shared one would swallow all until its probe fails.
+	// HTTP1Only restricts clients to HTTP/1.1, with one call at a time on a connection. A call that times out then closes
+	// its connection, and the next call opens another: a connection whose state was lost between the two ends fails one
+	// call, where a shared HTTP/2 connection would fail all calls until its ping times out.
 	HTTP1Only bool
 }
 
-// Client returns a client for control calls; the caller bounds each call by its context.
+// Client returns a new client with a connection pool of its own. It sets no time-out: each call is bounded by its context.
 func (d *Dialer) Client() (*http.Client, error) {
 	protocols := &http.Protocols{}
 	transport := &http.Transport{
-		// A call that was given up must not run later, when a cut on its way ends.
+		// A call that was cancelled must not run later, when an interrupted network path works again.
 		DialContext:         (&resetter.Dialer{Dialer: net.Dialer{Timeout: dialTimeout, KeepAlive: -1}}).DialContext,
-		IdleConnTimeout:     dialIdle,
-		MaxIdleConnsPerHost: perTarget,
+		IdleConnTimeout:     idleTimeout,
+		MaxIdleConnsPerHost: maxIdlePerHost,
 		Protocols:           protocols,
 		HTTP2: &http.HTTP2Config{
-			SendPingTimeout: probeIdle,
-			PingTimeout:     probeAnswer,
+			SendPingTimeout: pingAfter,
+			PingTimeout:     pingTimeout,
 		},
 	}
 	protocols.SetHTTP1(d.HTTP1Only)
@@ -64,7 +65,7 @@
 	return &http.Client{Transport: transport}, nil
 }
 
-// URL returns the base address of a process.
+// URL returns the base URL of the process at an address.
 func (d *Dialer) URL(address netip.AddrPort) string {
 	if d.Keys != nil && d.Keys.Files.Enabled() {
 		return "https://" + address.String()
--- a/core/dialer/dialer_test.go
+++ b/core/dialer/dialer_test.go
@@ -14,22 +14,22 @@
 	"golang.org/x/sys/unix"
 )
 
-// settle is longer than a call takes here, and than the kernel waits before it first sends again.
-const settle = 300 * time.Millisecond
+// callTimeout is longer than a call takes in this test and longer than the kernel's first retransmission time-out.
+const callTimeout = 300 * time.Millisecond
 
-// Guards against calls that run seconds after they were given up: an order to evacuate a zone, say, that arrives when it
-// has long been taken back.
-func TestCallThatWasGivenUpNeverRuns(t *testing.T) {
+// Guards against calls that run seconds after they were cancelled, such as a command to evacuate an availability zone
+// that arrives after it has been withdrawn.
+func TestTimedOutCallNeverRuns(t *testing.T) {
 	is := is.New(t)
-	ran := make(chan string, 8)
-	opened := make(chan net.Conn, 8)
+	bodies := make(chan string, 8)
+	connections := make(chan net.Conn, 8)
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
-		ran <- string(body)
+		bodies <- string(body)
 	}))
 	server.Config.ConnState = func(c net.Conn, s http.ConnState) {
 		if s == http.StateNew {
-			opened <- c
+			connections <- c
 		}
 	}
 	server.Start()
@@ -37,7 +37,7 @@
 	client, err := (&Dialer{HTTP1Only: true}).Client()
 	is.NoErr(err)
 	call := func(body string) error {
-		ctx, cancel := context.WithTimeout(t.Context(), settle)
+		ctx, cancel := context.WithTimeout(t.Context(), callTimeout)
 		defer cancel()
 		r, err := http.NewRequestWithContext(ctx, http.MethodPost, server.URL, strings.NewReader(body))
 		is.NoErr(err)
@@ -48,18 +48,18 @@
 		return response.Body.Close()
 	}
 	is.NoErr(call("first"))
-	is.Equal(<-ran, "first")
-	accepted := <-opened
-	drop(t, accepted, true)
+	is.Equal(<-bodies, "first")
+	accepted := <-connections
+	dropPackets(t, accepted, true)
 	is.True(call("given up") != nil)
-	drop(t, accepted, false)
-	time.Sleep(3 * settle)
+	dropPackets(t, accepted, false)
+	time.Sleep(3 * callTimeout)
 	is.NoErr(call("next"))
-	is.Equal(<-ran, "next")
+	is.Equal(<-bodies, "next")
 }
 
-// drop makes a machine drop, or take again, what arrives on a connection.
-func drop(t *testing.T, c net.Conn, on bool) {
+// dropPackets starts or stops dropping all packets that arrive on a connection.
+func dropPackets(t *testing.T, c net.Conn, on bool) {
 	t.Helper()
 	is := is.New(t)
 	filter := []unix.SockFilter{{Code: unix.BPF_RET | unix.BPF_K}}
