--- a/core/resetter/resetter.go
+++ b/core/resetter/resetter.go
@@ -1,5 +1,6 @@
-// Package resetter ends connections so that nothing arrives that was given up. A close in order leaves what was written
-// in the kernel, which goes on sending it: through a cut that ends seconds later, a request would still run.
+// Package resetter closes connections so that data of cancelled requests is not delivered later. After an orderly close
+// the kernel continues to send what was written: if the network path was interrupted and works again seconds later, a
+// cancelled request would still run.
 package resetter
 
 import (
@@ -9,7 +10,7 @@
 	"chervilrail.example/core/prober"
 )
 
-// Reset closes a connection and drops what the other machine has not acknowledged.
+// Reset closes a connection and discards the data that the other end has not acknowledged.
 func Reset(c net.Conn) error {
 	if socket, ok := c.(interface{ SetLinger(seconds int) error }); ok {
 		_ = socket.SetLinger(0)
@@ -17,25 +18,25 @@
 	return c.Close()
 }
 
-// Conn is a connection that resets itself on Close if the other machine has not acknowledged all that was written.
+// Conn is a connection whose Close resets it if the other end has not acknowledged all data that was written.
 type Conn struct {
 	*net.TCPConn
 }
 
-// Close closes the connection; nothing that is on its way arrives later.
+// Close closes the connection. It resets the connection if data is not acknowledged, or if that can't be determined.
 func (c *Conn) Close() error {
-	if held, ok := prober.Unacknowledged(c.TCPConn); ok && held == 0 {
+	if pending, ok := prober.Unacknowledged(c.TCPConn); ok && pending == 0 {
 		return c.TCPConn.Close()
 	}
 	return Reset(c.TCPConn)
 }
 
-// Dialer opens connections that reset themselves on Close.
+// Dialer opens connections of type *Conn, which do not deliver data after Close.
 type Dialer struct {
 	net.Dialer
 }
 
-// DialContext opens a TCP connection.
+// DialContext opens a connection. One that is not TCP is returned as it is.
 func (d *Dialer) DialContext(ctx context.Context, network, address string) (net.Conn, error) {
 	raw, err := d.Dialer.DialContext(ctx, network, address)
 	if err != nil {
--- a/core/resetter/resetter_test.go
+++ b/core/resetter/resetter_test.go
@@ -15,88 +15,88 @@
 )
 
 const (
-	// room is the receive buffer of a machine that takes little, in bytes.
-	room = 4 << 10
-	// much is more than fits there, and less than fits here.
-	much     = 64 << 10
-	patience = 5 * time.Second
+	// receiveBuffer is the size in bytes of the remote end's small receive buffer.
+	receiveBuffer = 4 << 10
+	// payload is a size in bytes above the remote receive buffer and below the local send buffer.
+	payload = 64 << 10
+	timeout = 5 * time.Second
 )
 
-// pair returns both ends of a connection; the far end takes little until it is read.
-func pair(t *testing.T) (near *Conn, far *net.TCPConn) {
+// pair returns both ends of a connection. The remote end's receive buffer is small.
+func pair(t *testing.T) (local *Conn, remote *net.TCPConn) {
 	t.Helper()
 	is := is.New(t)
-	small := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
+	listener := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
 		var failure error
 		err := c.Control(func(fd uintptr) {
-			failure = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_RCVBUF, room)
+			failure = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_RCVBUF, receiveBuffer)
 		})
 		return errors.Join(err, failure)
 	}}
-	socket, err := small.Listen(t.Context(), "tcp", "127.0.0.1:0")
+	socket, err := listener.Listen(t.Context(), "tcp", "127.0.0.1:0")
 	is.NoErr(err)
 	defer func() { is.NoErr(socket.Close()) }()
 	raw, err := (&Dialer{}).DialContext(t.Context(), "tcp", socket.Addr().String())
 	is.NoErr(err)
 	accepted, err := socket.Accept()
 	is.NoErr(err)
-	near, _ = raw.(*Conn)
-	far, _ = accepted.(*net.TCPConn)
-	is.NoErr(near.SetWriteBuffer(2 * much))
-	t.Cleanup(func() { _, _ = near.Close(), far.Close() })
-	return near, far
+	local, _ = raw.(*Conn)
+	remote, _ = accepted.(*net.TCPConn)
+	is.NoErr(local.SetWriteBuffer(2 * payload))
+	t.Cleanup(func() { _, _ = local.Close(), remote.Close() })
+	return local, remote
 }
 
-// Guards against a log that can't tell a target that is at work from one that never got the request.
+// Guards against logs that don't distinguish a target that works on a request from one that never received it.
 func TestUnacknowledgedBytesAreCounted(t *testing.T) {
 	is := is.New(t)
-	near, far := pair(t)
-	_, err := near.Write(make([]byte, much))
+	local, remote := pair(t)
+	_, err := local.Write(make([]byte, payload))
 	is.NoErr(err)
 	time.Sleep(50 * time.Millisecond)
-	count, ok := prober.Unacknowledged(near)
+	count, ok := prober.Unacknowledged(local)
 	is.True(ok)
-	is.True(count > 0 && count < much)
-	_, err = io.ReadFull(far, make([]byte, much))
+	is.True(count > 0 && count < payload)
+	_, err = io.ReadFull(remote, make([]byte, payload))
 	is.NoErr(err)
-	for end := time.Now().Add(patience); count > 0 && time.Now().Before(end); time.Sleep(time.Millisecond) {
-		count, ok = prober.Unacknowledged(near)
+	for end := time.Now().Add(timeout); count > 0 && time.Now().Before(end); time.Sleep(time.Millisecond) {
+		count, ok = prober.Unacknowledged(local)
 		is.True(ok)
 	}
 	is.Equal(count, 0)
 }
 
-// Guards against bytes that arrive seconds after their sender gave them up.
-func TestWhatIsOnItsWayIsDropped(t *testing.T) {
-	for name, end := range map[string]func(c *Conn) error{
+// Guards against data that arrives seconds after its sender closed the connection.
+func TestUnacknowledgedDataIsDropped(t *testing.T) {
+	for name, closeConn := range map[string]func(c *Conn) error{
 		"reset": func(c *Conn) error { return Reset(c) },
 		"close": func(c *Conn) error { return c.Close() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			near, far := pair(t)
-			_, err := near.Write(make([]byte, much))
+			local, remote := pair(t)
+			_, err := local.Write(make([]byte, payload))
 			is.NoErr(err)
-			is.NoErr(end(near))
+			is.NoErr(closeConn(local))
 			time.Sleep(50 * time.Millisecond)
-			is.NoErr(far.SetDeadline(time.Now().Add(patience)))
-			got, err := io.Copy(io.Discard, far)
+			is.NoErr(remote.SetDeadline(time.Now().Add(timeout)))
+			got, err := io.Copy(io.Discard, remote)
 			is.True(err != nil)
-			is.True(got < much)
+			is.True(got < payload)
 		})
 	}
 }
 
-// Guards against answers that break off since their reader closed a connection on which nothing was on its way.
-func TestCloseInOrderOtherwise(t *testing.T) {
+// Guards against data that is lost because the connection is reset on Close although all of it was acknowledged.
+func TestAcknowledgedDataIsDelivered(t *testing.T) {
 	is := is.New(t)
-	near, far := pair(t)
-	_, err := near.Write([]byte("all"))
+	local, remote := pair(t)
+	_, err := local.Write([]byte("all"))
 	is.NoErr(err)
 	time.Sleep(50 * time.Millisecond)
-	is.NoErr(near.Close())
-	is.NoErr(far.SetDeadline(time.Now().Add(patience)))
-	got, err := io.ReadAll(far)
+	is.NoErr(local.Close())
+	is.NoErr(remote.SetDeadline(time.Now().Add(timeout)))
+	got, err := io.ReadAll(remote)
 	is.NoErr(err)
 	is.Equal(string(got), "all")
 }
