--- a/core/prober/prober.go
+++ b/core/prober/prober.go
@@ -1,4 +1,4 @@
-// Package prober asks the kernel what it knows of a connection.
+// Package prober queries the kernel for the state of a connection.
 package prober
 
 import (
@@ -9,33 +9,34 @@
 	"golang.org/x/sys/unix"
 )
 
-// Unacknowledged returns how many bytes that were written to a connection the other machine has not acknowledged; false
-// if the connection or the system doesn't tell.
+// Unacknowledged returns how many of the bytes written to a connection the other end has not acknowledged. It is false if
+// the connection is no socket or the system does not report it.
 func Unacknowledged(c net.Conn) (int, bool) {
 	count, failure := 0, error(nil)
 	ok := control(c, func(fd int) { count, failure = unix.IoctlGetInt(fd, unix.TIOCOUTQ) })
 	return count, ok && failure == nil
 }
 
-// Idle reports whether a connection is still open and has nothing to read. A target that closed an idle connection would
-// reset the next request; bytes that nobody asked for would be taken for its answer.
+// Idle reports whether a connection is open and has nothing to read. If a target has closed an idle connection, the next
+// request on it would be reset; unexpected bytes would be taken for the response to the next request.
 func Idle(c net.Conn) bool {
 	_, err := peek(c)
 	return errors.Is(err, unix.EAGAIN)
 }
 
-// Closed reports whether the other end has closed or reset a connection, and nothing is left to read before that.
+// Closed reports whether the other end has closed or reset a connection and no data is left to read before the end.
 func Closed(c net.Conn) bool {
 	count, err := peek(c)
 	return count == 0 && err == nil || errors.Is(err, unix.ECONNRESET)
 }
 
-// peek looks at the next byte without taking it. An error is a syscall.Errno as it comes.
+// peek reads the next byte without consuming or waiting for it. Errors of the system call are returned unwrapped, as
+// syscall.Errno.
 func peek(c net.Conn) (int, error) {
 	count, failure := 0, error(nil)
 	ok := control(c, func(fd int) {
-		var one [1]byte
-		count, _, failure = unix.Recvfrom(fd, one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
+		var buffer [1]byte
+		count, _, failure = unix.Recvfrom(fd, buffer[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
 	})
 	if !ok {
 		return 0, unix.ENOTSOCK
@@ -43,7 +44,7 @@
 	return count, failure
 }
 
-// control calls a function with a connection's descriptor; false if it has none.
+// control calls a function with a connection's file descriptor; it returns false if there is none.
 func control(c net.Conn, call func(fd int)) bool {
 	socket, ok := c.(syscall.Conn)
 	if !ok {
--- a/core/prober/prober_test.go
+++ b/core/prober/prober_test.go
@@ -8,11 +8,11 @@
 	"github.com/matryer/is"
 )
 
-// settle is longer than a byte takes between two ends here.
-const settle = 20 * time.Millisecond
+// settleTime is longer than data takes from one end of a local connection to the other.
+const settleTime = 20 * time.Millisecond
 
 // pair returns both ends of a connection.
-func pair(t *testing.T) (near, far *net.TCPConn) {
+func pair(t *testing.T) (local, remote *net.TCPConn) {
 	t.Helper()
 	is := is.New(t)
 	socket, err := net.Listen("tcp", "127.0.0.1:0")
@@ -22,16 +22,16 @@
 	is.NoErr(err)
 	accepted, err := socket.Accept()
 	is.NoErr(err)
-	near, _ = raw.(*net.TCPConn)
-	far, _ = accepted.(*net.TCPConn)
-	t.Cleanup(func() { _, _ = near.Close(), far.Close() })
-	return near, far
+	local, _ = raw.(*net.TCPConn)
+	remote, _ = accepted.(*net.TCPConn)
+	t.Cleanup(func() { _, _ = local.Close(), remote.Close() })
+	return local, remote
 }
 
-func TestQuietAndClosed(t *testing.T) {
+func TestIdleAndClosed(t *testing.T) {
 	cases := map[string]struct {
-		end           func(far *net.TCPConn)
-		quiet, closed bool
+		act          func(remote *net.TCPConn)
+		idle, closed bool
 	}{
 		"idle":             {func(*net.TCPConn) {}, true, false},
 		"bytes":            {func(c *net.TCPConn) { _, _ = c.Write([]byte("x")) }, false, false},
@@ -42,21 +42,21 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			near, far := pair(t)
-			c.end(far)
-			time.Sleep(settle)
-			is.Equal(Idle(near), c.quiet)
-			is.Equal(Closed(near), c.closed)
+			local, remote := pair(t)
+			c.act(remote)
+			time.Sleep(settleTime)
+			is.Equal(Idle(local), c.idle)
+			is.Equal(Closed(local), c.closed)
 		})
 	}
 }
 
-func TestConnectionsThatAreNoSocketsDoNotTell(t *testing.T) {
+func TestConnectionWithoutSocket(t *testing.T) {
 	is := is.New(t)
-	near, far := net.Pipe()
-	defer func() { _, _ = near.Close(), far.Close() }()
-	_, ok := Unacknowledged(near)
+	local, remote := net.Pipe()
+	defer func() { _, _ = local.Close(), remote.Close() }()
+	_, ok := Unacknowledged(local)
 	is.True(!ok)
-	is.True(!Idle(near))
-	is.True(!Closed(near))
+	is.True(!Idle(local))
+	is.True(!Closed(local))
 }
