--- a/core/listener/listener.go
+++ b/core/listener/listener.go
@@ -1,4 +1,4 @@
-// Package listener serves an HTTP handler on one address as a service of the kernel.
+// Package listener provides an HTTP server on one address as a service of package kernel.
 package listener
 
 import (
@@ -22,13 +22,13 @@
 const (
 	// HeaderTimeout bounds how long a caller may take to send its request header.
 	HeaderTimeout = 10 * time.Second
-	// IdleTimeout closes connections that carry nothing.
+	// IdleTimeout is how long a connection may be idle before it is closed.
 	IdleTimeout = 2 * time.Minute
 	// MaxHeader is the largest request header in bytes.
 	MaxHeader = 64 << 10
 )
 
-// Listener is one HTTP server. Set the exported fields before Start.
+// Listener is an HTTP server. Set the exported fields before Start. Keys may be nil for no TLS.
 type Listener struct {
 	ServiceName string
 	Address     netip.AddrPort
@@ -40,10 +40,10 @@
 	serving atomic.Bool
 }
 
-// Name implements kernel.Service.
+// Name implements kernel.Service; it returns ServiceName.
 func (l *Listener) Name() string { return l.ServiceName }
 
-// Start opens the address and serves in a goroutine.
+// Start implements kernel.Service: it listens on the address and serves in a goroutine.
 func (l *Listener) Start(context.Context, kernel.Finder) error {
 	protocols := &http.Protocols{}
 	protocols.SetHTTP1(true)
@@ -89,24 +89,26 @@
 // connKey is the key of a request's connection in its context.
 type connKey struct{}
 
+// withConn adds a connection to the context of its requests.
 func withConn(ctx context.Context, c net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, c)
 }
 
-// CallerDisconnected reports whether the caller of a request has closed its connection. The server learns of it a moment after the
-// request itself: of one that lay in the kernel while this process was suspended, both come at once.
+// CallerDisconnected reports whether the caller of the request with context ctx has closed its connection. It also checks
+// the socket, as the server detects the close only some time after it has read the request: if the process was suspended
+// meanwhile, both were waiting in the kernel.
 func CallerDisconnected(ctx context.Context) bool {
 	if ctx.Err() != nil {
 		return true
 	}
 	c, ok := ctx.Value(connKey{}).(net.Conn)
-	if secured, encrypted := c.(*tls.Conn); encrypted {
-		c = secured.NetConn()
+	if tlsConn, encrypted := c.(*tls.Conn); encrypted {
+		c = tlsConn.NetConn()
 	}
 	return ok && prober.Closed(c)
 }
 
-// Stop refuses new connections and waits for requests in progress.
+// Stop implements kernel.Service: it refuses new connections and waits for the requests in progress until ctx ends.
 func (l *Listener) Stop(ctx context.Context) error {
 	if l.server == nil {
 		return nil
@@ -122,7 +124,7 @@
 	return &ClosedError{Listener: l.ServiceName}
 }
 
-// ClosedError says that a listener does not serve.
+// ClosedError reports that a listener does not serve.
 type ClosedError struct {
 	Listener string
 }
