--- a/core/kernel/kernel.go
+++ b/core/kernel/kernel.go
@@ -1,5 +1,5 @@
-// Package kernel runs a program's named services: it starts them in order, lets them find each other by
-// name, reports their health, and stops them in reverse order.
+// Package kernel runs the named services of a program: it starts them in order, lets them look each other up by name,
+// reports their health, and stops them in reverse order.
 package kernel
 
 import (
@@ -12,36 +12,36 @@
 	"github.com/go-kit/log/level"
 )
 
-// Service is one part of a program.
+// Service is a part of a program that is started and stopped with it.
 type Service interface {
-	// Name is how other services find it.
+	// Name returns the name by which other services find it.
 	Name() string
-	// Start returns when the service works; it runs on in goroutines of its own.
+	// Start returns when the service is ready; it continues to run in goroutines of its own.
 	Start(ctx context.Context, finder Finder) error
-	// Stop finishes what was begun and returns, at the latest when ctx ends.
+	// Stop finishes work in progress and returns, at the latest when ctx ends.
 	Stop(ctx context.Context) error
-	// Health returns nil when the service can do its work.
+	// Health returns nil if the service works, or the reason why it does not.
 	Health() error
 }
 
-// Finder looks services up by name.
+// Finder looks up services by name.
 type Finder interface {
 	Find(name string) (Service, error)
 }
 
-// Kernel holds the services. Set the exported fields, then call Run.
+// Kernel runs the services of a program. Set the exported fields, then call Run.
 type Kernel struct {
 	Logger   log.Logger
 	Services []Service
-	// StopTimeout bounds how long all services together may take to stop.
+	// StopTimeout is how long all services together may take to stop.
 	StopTimeout time.Duration
-	// Fatal receives the error of a service that can't go on; the program then stops.
+	// Fatal receives the error of a service that can't continue; Run then stops all services and returns the error.
 	Fatal chan error
 
 	started []Service
 }
 
-// Find implements Finder.
+// Find implements Finder. The error is a *ServiceError.
 func (k *Kernel) Find(name string) (Service, error) {
 	for _, s := range k.Services {
 		if s.Name() == name {
@@ -51,7 +51,8 @@
 	return nil, &ServiceError{Service: name, Action: "find", Cause: errors.New("no such service")}
 }
 
-// Run starts all services, waits until ctx ends or a service fails, and stops them.
+// Run starts all services, waits until ctx ends or a service fails, and stops the started services. It returns the
+// error that ended it joined with those of stopping.
 func (k *Kernel) Run(ctx context.Context) error {
 	err := k.start(ctx)
 	if err == nil {
@@ -84,18 +85,18 @@
 func (k *Kernel) stop() error {
 	ctx, cancel := context.WithTimeout(context.Background(), k.StopTimeout)
 	defer cancel()
-	var all error
+	var failures error
 	for i := len(k.started) - 1; i >= 0; i-- {
 		s := k.started[i]
 		_ = level.Debug(k.Logger).Log("msg", "stopping", "service", s.Name())
 		if err := s.Stop(ctx); err != nil {
-			all = errors.Join(all, &ServiceError{Service: s.Name(), Action: "stop", Cause: err})
+			failures = errors.Join(failures, &ServiceError{Service: s.Name(), Action: "stop", Cause: err})
 		}
 	}
-	return all
+	return failures
 }
 
-// Health returns the state of each service by name.
+// Health returns the health of each service by name; nil means healthy.
 func (k *Kernel) Health() map[string]error {
 	out := map[string]error{}
 	for _, s := range k.Services {
@@ -104,7 +105,7 @@
 	return out
 }
 
-// ServiceError says which service failed at what.
+// ServiceError reports which action of which service failed.
 type ServiceError struct {
 	Service string
 	Action  string
