--- a/core/logger/logger.go
+++ b/core/logger/logger.go
@@ -1,4 +1,4 @@
-// Package logger makes the programs' structured loggers.
+// Package logger makes the structured loggers of the programs.
 package logger
 
 import (
@@ -18,22 +18,23 @@
 	Format string
 	// Level is debug, info, warn or error.
 	Level string
-	// Program and Instance stand in every line.
+	// Program and Instance are added to every line.
 	Program  string
 	Instance string
 }
 
-// closeTimeout bounds how long a program that ends waits for its last lines to be read.
+// closeTimeout bounds how long a program waits at its end until its last lines are written.
 const closeTimeout = time.Second
 
-// Open returns a logger to standard output that never blocks, and what ends it.
+// Open returns a logger to standard output that never blocks, and a function that flushes and closes it. Dropped lines
+// are counted in the registry.
 func Open(o Options, registry prometheus.Registerer) (log.Logger, func()) {
 	w := &Writer{Out: os.Stdout}
 	w.Start(registry)
 	return New(w, o), func() {
 		ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 		defer cancel()
-		// Nobody is left to be told of a failure.
+		// The program ends: a failure can't be reported any more.
 		_ = w.Close(ctx)
 	}
 }
--- a/core/logger/writer.go
+++ b/core/logger/writer.go
@@ -11,30 +11,30 @@
 )
 
 const (
-	// bufferLimit is how many bytes of lines wait at most: about a second of lines of a loaded entry instance.
-	bufferLimit = 256 << 10
-	// gather is how long lines wait for others, so that one system call writes many. Lines of the last moments before a
-	// kill are lost with it.
-	gather = 50 * time.Millisecond
+	// maxPending is the most bytes of buffered lines: about a second of lines of an entry instance under load.
+	maxPending = 256 << 10
+	// flushDelay is how long lines are buffered, so that one system call writes many. The lines buffered when the process is
+	// killed are lost.
+	flushDelay = 50 * time.Millisecond
 )
 
-// Writer passes lines on in the background. A reader of standard output that stands still would otherwise block every
-// goroutine that logs, and requests with them; here lines are dropped instead, and a line says how many. Set the
-// exported fields, then Start it.
+// Writer writes lines to Out in the background. If the reader of standard output stopped reading, direct writes would
+// block every goroutine that logs, and with them requests. Writer drops lines instead and logs how many. Set Out, then
+// call Start.
 type Writer struct {
 	Out io.Writer
 
 	mu      sync.Mutex
-	waiting []byte
-	// unsaid is how many lines were dropped since that was last said.
-	unsaid  int
-	dropped prometheus.Counter
-	wake    chan struct{}
-	done    chan struct{}
-	closed  bool
+	pending []byte
+	// unreported is how many lines were dropped since the last report of dropped lines.
+	unreported int
+	dropped    prometheus.Counter
+	wake       chan struct{}
+	done       chan struct{}
+	closed     bool
 }
 
-// Start begins to write and counts in the registry what is dropped.
+// Start starts writing and registers the counter of dropped lines.
 func (w *Writer) Start(registry prometheus.Registerer) {
 	w.wake = make(chan struct{}, 1)
 	w.done = make(chan struct{})
@@ -45,16 +45,16 @@
 	go w.run()
 }
 
-// Write takes one line. It never blocks and never fails.
+// Write buffers one line, or drops it if the buffer is full or the writer closed. It never waits for Out and never fails.
 func (w *Writer) Write(line []byte) (int, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.closed || len(w.waiting)+len(line) > bufferLimit {
-		w.unsaid++
+	if w.closed || len(w.pending)+len(line) > maxPending {
+		w.unreported++
 		w.dropped.Inc()
 		return len(line), nil
 	}
-	w.waiting = append(w.waiting, line...)
+	w.pending = append(w.pending, line...)
 	select {
 	case w.wake <- struct{}{}:
 	default:
@@ -62,7 +62,7 @@
 	return len(line), nil
 }
 
-// Close writes what waits, until ctx ends.
+// Close writes the buffered lines. It returns the error of ctx if that ends first.
 func (w *Writer) Close(ctx context.Context) error {
 	w.mu.Lock()
 	if !w.closed {
@@ -80,35 +80,36 @@
 
 func (w *Writer) run() {
 	defer close(w.done)
-	var buffer []byte
+	var spare []byte
 	for range w.wake {
-		w.pause()
-		buffer = w.flush(buffer)
+		w.waitForLines()
+		spare = w.flush(spare)
 	}
-	w.flush(buffer)
+	w.flush(spare)
 }
 
-// pause lets further lines come, unless this is the end.
-func (w *Writer) pause() {
+// waitForLines waits for further lines, unless the writer is closed.
+func (w *Writer) waitForLines() {
 	w.mu.Lock()
 	closed := w.closed
 	w.mu.Unlock()
 	if !closed {
-		time.Sleep(gather)
+		time.Sleep(flushDelay)
 	}
 }
 
-// flush writes what waits; empty becomes the buffer of the lines that come meanwhile. It returns the buffer written.
-func (w *Writer) flush(empty []byte) []byte {
+// flush writes the buffered lines and a report of dropped lines. spare becomes the new buffer; flush returns the buffer
+// that it wrote, for reuse.
+func (w *Writer) flush(spare []byte) []byte {
 	w.mu.Lock()
-	lines, unsaid := w.waiting, w.unsaid
-	w.waiting, w.unsaid = empty[:0], 0
+	lines, unreported := w.pending, w.unreported
+	w.pending, w.unreported = spare[:0], 0
 	w.mu.Unlock()
-	if unsaid > 0 {
-		lines = fmt.Appendf(lines, "msg=\"log lines dropped\" count=%d\n", unsaid)
+	if unreported > 0 {
+		lines = fmt.Appendf(lines, "msg=\"log lines dropped\" count=%d\n", unreported)
 	}
 	if len(lines) > 0 {
-		// Nothing can be said about a failure to log but in the log.
+		// The error is ignored: a failure to log could only be reported in the log.
 		_, _ = w.Out.Write(lines)
 	}
 	return lines
--- a/core/logger/writer_test.go
+++ b/core/logger/writer_test.go
@@ -14,21 +14,21 @@
 	"github.com/prometheus/client_golang/prometheus/testutil"
 )
 
-// stuck is a reader that reads nothing until it is let go.
-type stuck struct {
-	free chan struct{}
-	mu   sync.Mutex
-	got  bytes.Buffer
+// blockedOutput is an output whose writes block until unblock is closed.
+type blockedOutput struct {
+	unblock chan struct{}
+	mu      sync.Mutex
+	output  bytes.Buffer
 }
 
-func (s *stuck) Write(data []byte) (int, error) {
-	<-s.free
+func (s *blockedOutput) Write(data []byte) (int, error) {
+	<-s.unblock
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.got.Write(data)
+	return s.output.Write(data)
 }
 
-func startWriter(out *stuck) (*Writer, log.Logger) {
+func startWriter(out *blockedOutput) (*Writer, log.Logger) {
 	w := &Writer{Out: out}
 	w.Start(prometheus.NewRegistry())
 	return w, New(w, Options{Format: "logfmt", Level: "info", Program: "p", Instance: "i"})
@@ -41,14 +41,14 @@
 	is.New(t).NoErr(w.Close(ctx))
 }
 
-// Whoever collects standard output stands still. Requests log on their way, so they would stand still too; callers
-// would see every answer late. Lines are dropped instead, and once the output is read again a line says how many.
-func TestStuckReaderDelaysNothing(t *testing.T) {
+// The process that reads standard output stops reading. Requests write log lines, so they would block too and every
+// response would be delayed. Lines are dropped instead, and once the output is read again a line reports how many.
+func TestBlockedOutputDoesNotBlockLogging(t *testing.T) {
 	is := is.New(t)
-	out := &stuck{free: make(chan struct{})}
+	out := &blockedOutput{unblock: make(chan struct{})}
 	w, logs := startWriter(out)
 	done := make(chan struct{})
-	lines := 4 * bufferLimit / 100
+	lines := 4 * maxPending / 100
 	go func() {
 		defer close(done)
 		for i := range lines {
@@ -60,31 +60,31 @@
 	case <-time.After(10 * time.Second):
 		t.Fatal("logging blocks")
 	}
-	close(out.free)
+	close(out.unblock)
 	closeWriter(t, w)
 	dropped := int(testutil.ToFloat64(w.dropped))
 	is.True(dropped > 0)
-	written := strings.Count(out.got.String(), "msg=request")
+	written := strings.Count(out.output.String(), "msg=request")
 	is.Equal(written+dropped, lines)
-	is.True(strings.Contains(out.got.String(), "log lines dropped"))
+	is.True(strings.Contains(out.output.String(), "log lines dropped"))
 }
 
-// Lines that wait when the program stops are written before it ends.
-func TestCloseWritesWhatWaits(t *testing.T) {
+// Guards against lines that are lost because they are still buffered when the program stops.
+func TestCloseFlushesPendingLines(t *testing.T) {
 	is := is.New(t)
-	out := &stuck{free: make(chan struct{})}
-	close(out.free)
+	out := &blockedOutput{unblock: make(chan struct{})}
+	close(out.unblock)
 	w, logs := startWriter(out)
 	_ = logs.Log("msg", "stopped")
 	closeWriter(t, w)
-	is.True(strings.Contains(out.got.String(), "msg=stopped"))
+	is.True(strings.Contains(out.output.String(), "msg=stopped"))
 }
 
-// A program stops while its output is stuck: it ends in time and not with its reader.
-func TestCloseEndsInTime(t *testing.T) {
+// A program stops while its output is blocked: it must end in time and not wait for the reader.
+func TestCloseReturnsWhenContextEnds(t *testing.T) {
 	is := is.New(t)
-	out := &stuck{free: make(chan struct{})}
-	defer close(out.free)
+	out := &blockedOutput{unblock: make(chan struct{})}
+	defer close(out.unblock)
 	w, logs := startWriter(out)
 	_ = logs.Log("msg", "stopped")
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Millisecond)
