--- a/core/reporter/reporter.go
+++ b/core/reporter/reporter.go
@@ -10,8 +10,8 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// Healther tells the health of every service by name.
-type Healther interface {
+// HealthSource returns the health of every service by name; nil means healthy.
+type HealthSource interface {
 	Health() map[string]error
 }
 
@@ -23,8 +23,9 @@
 	return r
 }
 
-// Mount adds /metrics, /healthz and /readyz to a mux.
-func Mount(mux *http.ServeMux, registry *prometheus.Registry, h Healther) {
+// Mount adds the handlers for /metrics, /healthz and /readyz to a mux. /healthz always succeeds; /readyz lists the
+// services and answers 503 if one of them is not healthy.
+func Mount(mux *http.ServeMux, registry *prometheus.Registry, h HealthSource) {
 	mux.Handle("GET /metrics", promhttp.HandlerFor(registry, promhttp.HandlerOpts{}))
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(http.StatusOK)
@@ -34,6 +35,7 @@
 	})
 }
 
+// writeHealth writes each service's health as a JSON object by name.
 func writeHealth(w http.ResponseWriter, health map[string]error) {
 	status := http.StatusOK
 	services := map[string]string{}
