--- a/core/reloader/reloader.go
+++ b/core/reloader/reloader.go
@@ -1,4 +1,4 @@
-// Package reloader reads a program's settings again when it is told that they have changed.
+// Package reloader reloads a program's settings on SIGHUP.
 package reloader
 
 import (
@@ -13,11 +13,11 @@
 	"chervilrail.example/core/kernel"
 )
 
-// Reloader is a service that waits for SIGHUP, whose default would end the process with all its requests. Set the
-// exported fields before Start.
+// Reloader is a service that reloads the settings on SIGHUP. By default the signal would end the process and all its
+// requests. Set the exported fields before Start.
 type Reloader struct {
-	// Load reads the settings and puts in force what may change while the program runs. After an error the former
-	// settings stay.
+	// Load reads the settings and applies those that may change while the program runs. If it returns an error, the
+	// former settings must stay in use.
 	Load   func() error
 	Logger log.Logger
 
@@ -28,7 +28,7 @@
 // Name implements kernel.Service.
 func (r *Reloader) Name() string { return "reload" }
 
-// Start begins to wait.
+// Start implements kernel.Service: it starts waiting for signals.
 func (r *Reloader) Start(context.Context, kernel.Finder) error {
 	r.signals = make(chan os.Signal, 1)
 	r.done = make(chan struct{})
@@ -48,7 +48,8 @@
 	}
 }
 
-// Stop ends waiting. The signal stays caught: one that comes while the program stops must not cut the stop short.
+// Stop implements kernel.Service: it stops reloading. From then on SIGHUP is ignored: it must not end the process before
+// the program has stopped.
 func (r *Reloader) Stop(context.Context) error {
 	if r.signals != nil {
 		signal.Stop(r.signals)
--- a/core/reloader/reloader_test.go
+++ b/core/reloader/reloader_test.go
@@ -12,8 +12,8 @@
 	"github.com/matryer/is"
 )
 
-// An operator changes the settings file and tells the process. Without a handler the process ends at once, and every
-// request that it carries is cut. It reads the file again instead, also after one that can't be read.
+// An operator changes the settings file and sends SIGHUP. Without a handler the process would end at once and abort all
+// its requests. It must reload the file instead, also after a reload that failed.
 func TestSignalReloads(t *testing.T) {
 	is := is.New(t)
 	loads := make(chan struct{}, 8)
