--- a/core/budgeter/budgeter.go
+++ b/core/budgeter/budgeter.go
@@ -11,7 +11,7 @@
 	// that leaves a margin for the difference between what an instance counts and what reaches the targets.
 	ratio = 0.1
 	// slack is how many retries per window all instances together may send beyond the ratio.
-	slack   = 24
+	slack = 24
 	// buckets is the number of parts into which the window is divided.
 	buckets = 10
 )
