--- a/core/budgeter/budgeter_test.go
+++ b/core/budgeter/budgeter_test.go
@@ -7,8 +7,9 @@
 	"github.com/matryer/is"
 )
 
-// Half of a service's targets fail at once, and every instance retries what failed. In every ten seconds, the retries of
-// all instances together must stay below a fifth of the requests plus the slack, also while requests start and end.
+// Half of a service's targets fail at once, and every instance retries what failed. In every ten seconds, the retries
+// of all instances together must stay below a fifth of the requests plus a fixed allowance, also while requests start
+// and end.
 func TestRetriesOfAllInstancesStayWithinBudget(t *testing.T) {
 	const instances, perTick = 12, 3
 	budgets := make([]Budget, instances)
--- a/core/cataloguer/diff.go
+++ b/core/cataloguer/diff.go
@@ -26,7 +26,8 @@
 	return fmt.Sprintf("~ [%s] %s = %s -> %s", e.Section, e.Key, e.Old, e.New)
 }
 
-// Diff lists the settings that differ between two catalogues, sorted by section and key. Comments and order are ignored.
+// Diff lists the settings that differ between two catalogues, sorted by section and key. Comments and order are
+// ignored.
 func Diff(before, after []byte) []Edit {
 	old, updated := settings(before), settings(after)
 	var out []Edit
--- a/core/claimer/claimer.go
+++ b/core/claimer/claimer.go
@@ -44,8 +44,8 @@
 // Count returns the number of claims in the ledger.
 func (l *Ledger) Count() int { return len(l.records) }
 
-// Claim applies a claim at the given time and returns its result. At most one attempt is granted a key, unless the holder
-// settles it as not run.
+// Claim applies a claim at the given time and returns its result. At most one attempt is granted a key, unless the
+// holder settles it as not run.
 func (l *Ledger) Claim(at time.Time, c *wire.Claim) *wire.ClaimResult {
 	l.evictExpired(at)
 	issued := time.UnixMilli(c.GetIssued())
--- a/core/dialer/dialer.go
+++ b/core/dialer/dialer.go
@@ -17,8 +17,8 @@
 	// second.
 	dialTimeout    = 1500 * time.Millisecond
 	maxIdlePerHost = 16
-	// pingAfter and pingTimeout close a connection that receives nothing. Without them, every call on a connection whose
-	// state was lost between the two ends would get no response until the kernel times out, minutes later.
+	// pingAfter and pingTimeout close a connection that receives nothing. Without them, every call on a connection
+	// whose state was lost between the two ends would get no response until the kernel times out, minutes later.
 	pingAfter   = 2 * time.Second
 	pingTimeout = 2 * time.Second
 )
@@ -31,13 +31,14 @@
 type Dialer struct {
 	// Keys secures the connections by TLS; nil means no TLS.
 	Keys *securer.Keys
-	// HTTP1Only restricts clients to HTTP/1.1, with one call at a time on a connection. A call that times out then closes
-	// its connection, and the next call opens another: a connection whose state was lost between the two ends fails one
-	// call, where a shared HTTP/2 connection would fail all calls until its ping times out.
+	// HTTP1Only restricts clients to HTTP/1.1, with one call at a time on a connection. A call that times out then
+	// closes its connection, and the next call opens another: a connection whose state was lost between the two ends
+	// fails one call, where a shared HTTP/2 connection would fail all calls until its ping times out.
 	HTTP1Only bool
 }
 
-// Client returns a new client with a connection pool of its own. It sets no time-out: each call is bounded by its context.
+// Client returns a new client with a connection pool of its own. It sets no time-out: each call is bounded by its
+// context.
 func (d *Dialer) Client() (*http.Client, error) {
 	protocols := &http.Protocols{}
 	transport := &http.Transport{
--- a/core/logger/writer.go
+++ b/core/logger/writer.go
@@ -13,8 +13,8 @@
 const (
 	// maxPending is the most bytes of buffered lines: about a second of lines of an entry instance under load.
 	maxPending = 256 << 10
-	// flushDelay is how long lines are buffered, so that one system call writes many. The lines buffered when the process is
-	// killed are lost.
+	// flushDelay is how long lines are buffered, so that one system call writes many. The lines buffered when the
+	// process is killed are lost.
 	flushDelay = 50 * time.Millisecond
 )
 
@@ -45,7 +45,8 @@
 	go w.run()
 }
 
-// Write buffers one line, or drops it if the buffer is full or the writer closed. It never waits for Out and never fails.
+// Write buffers one line, or drops it if the buffer is full or the writer closed. It never waits for Out and never
+// fails.
 func (w *Writer) Write(line []byte) (int, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/core/messenger/messenger.go
+++ b/core/messenger/messenger.go
@@ -37,8 +37,8 @@
 	Slots   int32
 }
 
-// PerSlot returns the load without the request that the report came with, in requests per slot. It is false if there is
-// no report or the report has no slots.
+// PerSlot returns the load without the request that the report came with, in requests per slot. The second result is
+// false if there is no report or the report has no slots.
 func (l *Load) PerSlot() (float64, bool) {
 	if l == nil || l.Slots <= 0 {
 		return 0, false
--- a/core/parser/parser.go
+++ b/core/parser/parser.go
@@ -54,15 +54,15 @@
 		d.Fault(nil, "", "sections of key = value lines", err.Error())
 		return d
 	}
-	lines := scanLines(d, data)
+	positions := scanPositions(d, data)
 	for _, section := range file.Sections() {
-		d.addSection(section, lines)
+		d.addSection(section, positions)
 	}
 	return d
 }
 
 // addSection adds a parsed section. Keys before the first section are a fault.
-func (d *Document) addSection(section *ini.Section, lines map[string]*sectionLines) {
+func (d *Document) addSection(section *ini.Section, positions map[string]*sectionPosition) {
 	if section.Name() == ini.DefaultSection {
 		if len(section.Keys()) > 0 {
 			d.Fault(nil, section.Keys()[0].Name(), "keys inside a section", "a key before the first section")
@@ -77,7 +77,7 @@
 		lines: map[string]int{},
 		read:  map[string]bool{},
 	}
-	if p, ok := lines[section.Name()]; ok {
+	if p, ok := positions[section.Name()]; ok {
 		s.Line = p.line
 		s.lines = p.keys
 	}
@@ -87,17 +87,17 @@
 	d.Sections = append(d.Sections, s)
 }
 
-// sectionLines holds the line numbers of a section's heading and keys.
-type sectionLines struct {
+// sectionPosition holds the line numbers of a section's heading and keys.
+type sectionPosition struct {
 	line int
 	keys map[string]int
 }
 
-// scanLines finds the line numbers of sections and keys, and records duplicates as faults. The library merges duplicates
-// without an error: the limits of the first of two sections would be ignored.
-func scanLines(d *Document, data []byte) map[string]*sectionLines {
-	found := map[string]*sectionLines{}
-	var current *sectionLines
+// scanPositions finds the line numbers of sections and keys, and records duplicates as faults. The library merges
+// duplicates without an error: the limits of the first of two sections would be ignored.
+func scanPositions(d *Document, data []byte) map[string]*sectionPosition {
+	positions := map[string]*sectionPosition{}
+	var current *sectionPosition
 	lines := bufio.NewScanner(bytes.NewReader(data))
 	lines.Buffer(nil, len(data)+1)
 	for number := 1; lines.Scan(); number++ {
@@ -106,27 +106,27 @@
 			continue
 		}
 		if line[0] == '[' {
-			current = scanHeading(d, found, line, number)
+			current = scanHeading(d, positions, line, number)
 			continue
 		}
 		scanKey(d, current, line, number)
 	}
-	return found
+	return positions
 }
 
-func scanHeading(d *Document, found map[string]*sectionLines, line string, number int) *sectionLines {
+func scanHeading(d *Document, positions map[string]*sectionPosition, line string, number int) *sectionPosition {
 	name := strings.TrimSpace(strings.TrimPrefix(line, "["))
 	if end := strings.IndexByte(name, ']'); end >= 0 {
 		name = strings.TrimSpace(name[:end])
 	}
-	if _, ok := found[name]; ok {
+	if _, ok := positions[name]; ok {
 		d.faults = append(d.faults, Fault{d.Source, number, name, "", "each section once", "the section again"})
 	}
-	found[name] = &sectionLines{number, map[string]int{}}
-	return found[name]
+	positions[name] = &sectionPosition{number, map[string]int{}}
+	return positions[name]
 }
 
-func scanKey(d *Document, current *sectionLines, line string, number int) {
+func scanKey(d *Document, current *sectionPosition, line string, number int) {
 	at := strings.IndexAny(line, "=:")
 	if at < 0 || current == nil {
 		return
--- a/core/prober/prober.go
+++ b/core/prober/prober.go
@@ -9,16 +9,16 @@
 	"golang.org/x/sys/unix"
 )
 
-// Unacknowledged returns how many of the bytes written to a connection the other end has not acknowledged. It is false if
-// the connection is no socket or the system does not report it.
+// Unacknowledged returns how many of the bytes written to a connection the other end has not acknowledged. The
+// second result is false if the connection is not a socket or the system does not report it.
 func Unacknowledged(c net.Conn) (int, bool) {
 	count, failure := 0, error(nil)
 	ok := control(c, func(fd int) { count, failure = unix.IoctlGetInt(fd, unix.TIOCOUTQ) })
 	return count, ok && failure == nil
 }
 
-// Idle reports whether a connection is open and has nothing to read. If a target has closed an idle connection, the next
-// request on it would be reset; unexpected bytes would be taken for the response to the next request.
+// Idle reports whether a connection is open and has nothing to read. If a target has closed an idle connection, the
+// next request on it would be reset; unexpected bytes would be taken for the response to the next request.
 func Idle(c net.Conn) bool {
 	_, err := peek(c)
 	return errors.Is(err, unix.EAGAIN)
--- a/core/quarantiner/quarantiner.go
+++ b/core/quarantiner/quarantiner.go
@@ -31,13 +31,14 @@
 
 // Quarantiner holds the suspected requests. Its zero value holds none.
 type Quarantiner struct {
-	// Threshold is the number of different target runs whose loss a request is taken to have caused; zero means
-	// DefaultThreshold.
+	// Threshold is how many different target runs must be lost while a request is in flight there until it counts as
+	// the cause and is refused; zero means DefaultThreshold.
 	Threshold int
 
 	mu         sync.Mutex
 	suspicions map[Fingerprint]*suspicion
-	// successes and olderSuccesses hold when requests last succeeded, in two generations: a full one replaces the older.
+	// successes and olderSuccesses hold when requests last succeeded, in two generations: a full one replaces the
+	// older.
 	successes      map[Fingerprint]time.Time
 	olderSuccesses map[Fingerprint]time.Time
 	// nextSweep is the earliest time at which a full table is swept again.
--- a/core/quarantiner/quarantiner_test.go
+++ b/core/quarantiner/quarantiner_test.go
@@ -29,8 +29,8 @@
 	is.True(q.RefusedUntil(start.Add(RefusalPeriod), poison).IsZero()) // the refusal ends
 }
 
-// A frequent request is in flight whenever a target crashes. Quarantined, it would be refused to all callers although it
-// never caused a crash.
+// A frequent request is in flight whenever a target crashes. Quarantined, it would be refused to all callers although
+// it never caused a crash.
 func TestHarmlessRequestIsNotQuarantined(t *testing.T) {
 	is := is.New(t)
 	var q Quarantiner
--- a/core/reloader/reloader.go
+++ b/core/reloader/reloader.go
@@ -48,8 +48,8 @@
 	}
 }
 
-// Stop implements kernel.Service: it stops reloading. From then on SIGHUP is ignored: it must not end the process before
-// the program has stopped.
+// Stop implements kernel.Service: it stops reloading. From then on SIGHUP is ignored: it must not end the process
+// before the program has stopped.
 func (r *Reloader) Stop(context.Context) error {
 	if r.signals != nil {
 		signal.Stop(r.signals)
--- a/core/retrier/retrier.go
+++ b/core/retrier/retrier.go
@@ -1,11 +1,12 @@
-// Package retrier decides whether a failed attempt may be retried. Retries are taken from a budget that successes fill,
+// Package retrier decides whether a failed attempt is retried. Retries are taken from a budget that successes refill,
 // so that retries do not multiply the load of an outage.
 package retrier
 
 import "sync"
 
 const (
-	// creditPerSuccess is what one success adds, in thousandths of a retry: retries stay under a tenth of the successes.
+	// creditPerSuccess is what one success adds, in thousandths of a retry: retries stay under a tenth of the
+	// successes.
 	creditPerSuccess = 100
 	retryCost        = 1000
 	// maxCredit bounds the credit that successes accumulate; the budget starts with it.
--- a/core/securer/securer.go
+++ b/core/securer/securer.go
@@ -14,7 +14,8 @@
 type Files struct {
 	Certificate string
 	Key         string
-	// Authority holds the certificates that verify the other side; on a listener it makes client certificates mandatory.
+	// Authority holds the certificates that verify the other side; on a listener it makes client certificates
+	// mandatory.
 	Authority string
 }
 
@@ -44,8 +45,8 @@
 	return err
 }
 
-// certificate returns the certificate on disk. Until a changed pair of files can be read, the former certificate stays in
-// use: connections must not fail while a renewal has written only one of the two files.
+// certificate returns the certificate on disk. Until a changed pair of files can be read, the former certificate stays
+// in use: connections must not fail while a renewal has written only one of the two files.
 func (k *Keys) certificate() (*tls.Certificate, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -53,14 +54,14 @@
 	if err == nil && k.loaded != nil && info.ModTime().Equal(k.modified) {
 		return k.loaded, nil
 	}
-	certificate, loadErr := tls.LoadX509KeyPair(k.Files.Certificate, k.Files.Key)
+	keyPair, loadErr := tls.LoadX509KeyPair(k.Files.Certificate, k.Files.Key)
 	if loadErr != nil {
 		if k.loaded != nil {
 			return k.loaded, nil
 		}
 		return nil, &FileError{Path: k.Files.Certificate, Cause: loadErr}
 	}
-	k.loaded = &certificate
+	k.loaded = &keyPair
 	if err == nil {
 		k.modified = info.ModTime()
 	}
--- a/core/securer/securer_test.go
+++ b/core/securer/securer_test.go
@@ -83,8 +83,8 @@
 	is.Equal(peerSerial(t, s, &Keys{Files: server.Files}), int64(2)) // the server was not restarted
 }
 
-// A process without a certificate of the authority connects. If it were accepted, it could claim to be an entry instance
-// and take other instances' shares.
+// A process without a certificate of the authority connects. If it were accepted, it could claim to be an entry
+// instance and take other instances' shares.
 func TestClientWithoutCertificateIsRefused(t *testing.T) {
 	is := is.New(t)
 	s := serve(t, &Keys{Files: writeCertificate(t, t.TempDir(), 1)})
--- a/core/tuner/tuner.go
+++ b/core/tuner/tuner.go
@@ -1,11 +1,11 @@
-// Package tuner adapts the number of requests of a service that this instance may run concurrently, without knowledge of
-// the other instances: the limit grows slowly while requests succeed and shrinks when targets shed load.
+// Package tuner adapts the number of requests of a service that this instance may run concurrently, without knowledge
+// of the other instances: the limit grows slowly while requests succeed and shrinks when targets shed load.
 package tuner
 
 import "time"
 
 const (
-	// shrinkPercent is the part of the limit that remains after targets shed load.
+	// shrinkPercent is the percentage of the limit that remains after targets shed load.
 	shrinkPercent = 85
 	percent       = 100
 	// shrinkInterval is the least time between two decreases, so that a burst of refusals counts once.
