--- a/core/budgeter/budgeter_test.go
+++ b/core/budgeter/budgeter_test.go
@@ -16,33 +16,33 @@
 	now := time.Unix(1000, 0)
 	var requests, retries []int
 	for tick := range 600 {
-		a, s := 0, 0
+		tickRequests, tickRetries := 0, 0
 		for i := range budgets {
 			for range perTick {
 				if tick > 100 && tick < 400 {
 					budgets[i].RecordRequest(now)
-					a++
+					tickRequests++
 				}
 				if budgets[i].Spend(now, instances) {
-					s++
+					tickRetries++
 				}
 			}
 		}
-		requests, retries = append(requests, a), append(retries, s)
+		requests, retries = append(requests, tickRequests), append(retries, tickRetries)
 		now = now.Add(100 * time.Millisecond)
 	}
 	is := is.New(t)
 	for at := 100; at < len(requests); at++ {
-		a, s := 0, 0
+		windowRequests, windowRetries := 0, 0
 		for i := at - 100; i < at; i++ {
-			a += requests[i]
-			s += retries[i]
+			windowRequests += requests[i]
+			windowRetries += retries[i]
 		}
 		previous := 0
 		for i := max(0, at-200); i < at-100; i++ {
 			previous += requests[i]
 		}
-		is.True(float64(s) <= 0.2*float64(max(a, previous))+56)
+		is.True(float64(windowRetries) <= 0.2*float64(max(windowRequests, previous))+56)
 	}
 }
 
--- a/core/mapper/mapper_test.go
+++ b/core/mapper/mapper_test.go
@@ -44,7 +44,7 @@
 	return netip.AddrFrom4([4]byte{10, byte(random.IntN(5)), byte(random.IntN(256)), byte(random.IntN(256))})
 }
 
-func TestAgainstNaiveTable(t *testing.T) {
+func TestFindEqualsNaiveLookup(t *testing.T) {
 	is := is.New(t)
 	for seed := range uint64(200) {
 		random := rand.New(rand.NewPCG(seed, 7))
