--- a/controller/internal/changer/changer.go
+++ b/controller/internal/changer/changer.go
@@ -77,7 +77,7 @@
 
 // run executes a command, here or at the leader. The name is for logs and errors.
 func (c *Changer) run(ctx context.Context, name string, command *wire.Command) (*wire.Result, error) {
-	if listener.Left(ctx) {
+	if listener.CallerDisconnected(ctx) {
 		return nil, c.refuseDisconnected(name)
 	}
 	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
@@ -115,7 +115,7 @@
 func (c *Changer) Submit(
 	ctx context.Context, r *connect.Request[wire.SubmitRequest],
 ) (*connect.Response[wire.SubmitResponse], error) {
-	if listener.Left(ctx) {
+	if listener.CallerDisconnected(ctx) {
 		return nil, connect.NewError(connect.CodeCanceled, c.refuseDisconnected("submit"))
 	}
 	result, err := c.Consensus.Propose(ctx, r.Msg.GetCommand())
--- a/controller/internal/cli/cli.go
+++ b/controller/internal/cli/cli.go
@@ -162,7 +162,7 @@
 		Fatal:  fatal,
 	}
 	exchange := &exchanger.Exchanger{
-		Self: settings.Name, Region: settings.Region, Consensus: consensus, Dialer: &dialer.Dialer{Keys: controlKeys, Plain: true},
+		Self: settings.Name, Region: settings.Region, Consensus: consensus, Dialer: &dialer.Dialer{Keys: controlKeys, HTTP1Only: true},
 		HostStore: &storer.HostStore{Folder: settings.Folder}, Logger: logs,
 	}
 	consensus.OnRoutingChange = exchange.NotifyWatchers
@@ -172,7 +172,7 @@
 		Consensus: consensus, Token: settings.Token, Exchanger: exchange, Changer: change, Allocator: allocate,
 	}
 	operator := handlers.Operator()
-	k := &kernel.Kernel{Logger: logs, Patience: settings.StopTimeout, Fatal: fatal}
+	k := &kernel.Kernel{Logger: logs, StopTimeout: settings.StopTimeout, Fatal: fatal}
 	registry.MustRegister(&server.Collector{Summary: consensus.Summary})
 	reporter.Mount(operator, registry, k)
 	k.Services = []kernel.Service{
@@ -180,14 +180,14 @@
 		consensus,
 		exchange,
 		&listener.Listener{
-			Title: "control", Address: settings.Control, Handler: handlers.Control(), Keys: controlKeys, Logger: logs,
+			ServiceName: "control", Address: settings.Control, Handler: handlers.Control(), Keys: controlKeys, Logger: logs,
 		},
 		&listener.Listener{
-			Title:   "operator",
-			Address: settings.Operator,
-			Handler: operator,
-			Keys:    &securer.Keys{Files: settings.OperatorKeys},
-			Logger:  logs,
+			ServiceName: "operator",
+			Address:     settings.Operator,
+			Handler:     operator,
+			Keys:        &securer.Keys{Files: settings.OperatorKeys},
+			Logger:      logs,
 		},
 	}
 	k.Services = append(k.Services, platformListeners(settings, &translator.PlatformHandler{
@@ -203,7 +203,7 @@
 	var out []kernel.Service
 	for title, address := range map[string]netip.AddrPort{"callers": settings.Callers, "directory": settings.Directory} {
 		if address.IsValid() {
-			out = append(out, &listener.Listener{Title: title, Address: address, Handler: handler, Logger: handler.Logger})
+			out = append(out, &listener.Listener{ServiceName: title, Address: address, Handler: handler, Logger: handler.Logger})
 		}
 	}
 	return out
--- a/controller/internal/config/config.go
+++ b/controller/internal/config/config.go
@@ -147,8 +147,8 @@
 	case "quota":
 		c.Quotas = quoter.Tolerance{
 			Window:  d.Duration(s, "window", defaultQuotaWindow, minQuotaWindow, time.Minute),
-			Overage: d.Real(s, "overage", 0, 0, 1),
-			Slack:   d.Real(s, "slack", 0, 0, maxQuotaSlack),
+			Overage: d.Float(s, "overage", 0, 0, 1),
+			Slack:   d.Float(s, "slack", 0, 0, maxQuotaSlack),
 		}
 	case "operator":
 		c.TokenFile = d.Optional(s, "token")
@@ -193,7 +193,7 @@
 		}
 		c.Peers[address.Addr().String()] = netip.AddrPortFrom(address.Addr(), c.Control.Port())
 	}
-	c.Bootstrap = d.Flag(s, "found", false)
+	c.Bootstrap = d.Bool(s, "found", false)
 	c.MaxVoters = int(d.Number(s, "seats", defaultMaxVoters, 1, maxControllers))
 	if c.Control.IsValid() {
 		c.Name = c.Control.Addr().String()
--- a/core/budgeter/budgeter_test.go
+++ b/core/budgeter/budgeter_test.go
@@ -7,45 +7,46 @@
 	"github.com/matryer/is"
 )
 
-// Half of a service's targets fail at once, and every instance sends what failed again. All of them together must
-// stay under a fifth of the requests and what is allowed beyond, in every ten seconds, also while requests begin and end.
-func TestRepeatsOfAllInstancesStayUnderTheirPart(t *testing.T) {
+// Half of a service's targets fail at once, and every instance retries what failed. In every ten seconds, the retries
+// of all instances together must stay below a fifth of the requests plus a fixed allowance, also while requests start
+// and end.
+func TestRetriesOfAllInstancesStayWithinBudget(t *testing.T) {
 	const instances, perTick = 12, 3
 	budgets := make([]Budget, instances)
 	now := time.Unix(1000, 0)
-	var asked, spent []int
+	var requests, retries []int
 	for tick := range 600 {
-		a, s := 0, 0
+		tickRequests, tickRetries := 0, 0
 		for i := range budgets {
 			for range perTick {
 				if tick > 100 && tick < 400 {
-					budgets[i].Ask(now)
-					a++
+					budgets[i].RecordRequest(now)
+					tickRequests++
 				}
 				if budgets[i].Spend(now, instances) {
-					s++
+					tickRetries++
 				}
 			}
 		}
-		asked, spent = append(asked, a), append(spent, s)
+		requests, retries = append(requests, tickRequests), append(retries, tickRetries)
 		now = now.Add(100 * time.Millisecond)
 	}
 	is := is.New(t)
-	for at := 100; at < len(asked); at++ {
-		a, s := 0, 0
+	for at := 100; at < len(requests); at++ {
+		windowRequests, windowRetries := 0, 0
 		for i := at - 100; i < at; i++ {
-			a += asked[i]
-			s += spent[i]
+			windowRequests += requests[i]
+			windowRetries += retries[i]
 		}
-		before := 0
+		previous := 0
 		for i := max(0, at-200); i < at-100; i++ {
-			before += asked[i]
+			previous += requests[i]
 		}
-		is.True(float64(s) <= 0.2*float64(max(a, before))+56)
+		is.True(float64(windowRetries) <= 0.2*float64(max(windowRequests, previous))+56)
 	}
 }
 
-func TestBudgetForgets(t *testing.T) {
+func TestBudgetIsRestoredAfterWindow(t *testing.T) {
 	is := is.New(t)
 	var b Budget
 	now := time.Unix(1000, 0)
--- a/core/tuner/tuner_test.go
+++ b/core/tuner/tuner_test.go
@@ -10,30 +10,30 @@
 func TestLimit(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var l Tuner
-	l.Bound(10, 12)
+	l.SetBounds(10, 12)
 	t.Run("starts with the share", func(t *testing.T) { is.New(t).Equal(l.Limit(), 10) })
 	t.Run("one burst of refusals counts once", func(t *testing.T) {
 		is := is.New(t)
 		for range 50 {
-			l.Shed(now)
+			l.RecordShed(now)
 		}
 		is.Equal(l.Limit(), 8)
 	})
-	t.Run("grows only while full, up to the most", func(t *testing.T) {
+	t.Run("grows only while full, up to the maximum", func(t *testing.T) {
 		is := is.New(t)
 		for range 1000 {
-			l.Succeed(false)
+			l.RecordSuccess(false)
 		}
 		is.Equal(l.Limit(), 8)
 		for range 1000 {
-			l.Succeed(true)
+			l.RecordSuccess(true)
 		}
 		is.Equal(l.Limit(), 12)
 	})
 	t.Run("never below one", func(t *testing.T) {
 		is := is.New(t)
 		for i := range 100 {
-			l.Shed(now.Add(time.Duration(i) * time.Second))
+			l.RecordShed(now.Add(time.Duration(i) * time.Second))
 		}
 		is.Equal(l.Limit(), 1)
 	})
--- a/entry/internal/broadcaster/broadcaster.go
+++ b/entry/internal/broadcaster/broadcaster.go
@@ -269,8 +269,8 @@
 		return
 	}
 	if l.GetSuccess() {
-		s.Quarantine.Succeed(now, f)
+		s.Quarantine.RecordSuccess(now, f)
 		return
 	}
-	s.Quarantine.Lose(now, f, quarantiner.Run{Target: l.GetTarget(), Incarnation: l.GetIncarnation()})
+	s.Quarantine.RecordLoss(now, f, quarantiner.Run{Target: l.GetTarget(), Incarnation: l.GetIncarnation()})
 }
--- a/entry/internal/carrier/attempt.go
+++ b/entry/internal/carrier/attempt.go
@@ -196,9 +196,9 @@
 
 func (c *Carrier) outgoing(j *job, t *placer.Target, now time.Time) *pooler.Request {
 	header := j.request.Header.Clone()
-	messenger.RemoveHop(header)
+	messenger.RemoveHopHeaders(header)
 	header.Del("Content-Length")
-	c.Codec.Address(header, messenger.Addressee{
+	c.Codec.SetTargetHeaders(header, messenger.Destination{
 		Target: t.Name, Organisation: j.organisation.GetName(), Deadline: j.deadline,
 	}, now)
 	return &pooler.Request{
@@ -248,7 +248,7 @@
 
 // clearSuspicion removes a request that succeeded from the suspects of all entry instances.
 func (c *Carrier) clearSuspicion(now time.Time, j *job) {
-	if c.Quarantine.Succeed(now, j.fingerprint) {
+	if c.Quarantine.RecordSuccess(now, j.fingerprint) {
 		c.Views.ReportLoss(&wire.Loss{Fingerprint: j.fingerprint[:], Success: true, Incarnation: rand.Uint64()})
 	}
 }
@@ -285,7 +285,7 @@
 		return
 	}
 	run := quarantiner.Run{Target: t.Name, Incarnation: t.Incarnation}
-	if c.Quarantine.Lose(time.Now(), j.fingerprint, run) {
+	if c.Quarantine.RecordLoss(time.Now(), j.fingerprint, run) {
 		c.Views.ReportLoss(&wire.Loss{Fingerprint: j.fingerprint[:], Target: t.Name, Incarnation: t.Incarnation})
 	}
 }
--- a/entry/internal/cli/cli.go
+++ b/entry/internal/cli/cli.go
@@ -151,7 +151,7 @@
 
 // kernel lists the services in the order of their start; they stop in reverse.
 func (p *program) kernel() *kernel.Kernel {
-	k := &kernel.Kernel{Logger: p.logger, Patience: p.settings.StopTimeout, Fatal: make(chan error, 1)}
+	k := &kernel.Kernel{Logger: p.logger, StopTimeout: p.settings.StopTimeout, Fatal: make(chan error, 1)}
 	operator := http.NewServeMux()
 	reporter.Mount(operator, p.registry, k)
 	k.Services = []kernel.Service{
@@ -182,7 +182,7 @@
 }
 
 func (p *program) newListener(title string, handler http.Handler) *listener.Listener {
-	l := &listener.Listener{Title: title, Handler: handler, Logger: p.logger}
+	l := &listener.Listener{ServiceName: title, Handler: handler, Logger: p.logger}
 	switch title {
 	case "peer":
 		l.Address, l.Keys = p.settings.Peer, p.control
--- a/entry/internal/cli/plan.go
+++ b/entry/internal/cli/plan.go
@@ -56,13 +56,13 @@
 	p.logger, p.closeLog = logger.Open(logger.Options{
 		Format: settings.LogFormat, Level: settings.LogLevel, Program: "entry", Instance: settings.Name,
 	}, p.registry)
-	quarantine := &quarantiner.Quarantiner{Confirm: confirmedLosses}
+	quarantine := &quarantiner.Quarantiner{Threshold: confirmedLosses}
 	p.watcher = &watcher.Watcher{
 		Instance: &wire.Node{
 			Name: settings.Name, Caller: settings.Caller.String(), Peer: settings.Peer.String(), Region: settings.Region, Zone: settings.Zone,
 		},
 		Seeds:    settings.Seeds,
-		Dialer:   &dialer.Dialer{Plain: true},
+		Dialer:   &dialer.Dialer{HTTP1Only: true},
 		Logger:   p.logger,
 		OnLosses: func(losses []*wire.Loss) { applyLosses(quarantine, losses) },
 	}
@@ -71,11 +71,11 @@
 		Sender: &pooler.Pooler{}, Quarantine: quarantine, Logger: p.logger, Metrics: carrier.NewMetrics(p.registry),
 	}
 	p.locator = &locator.Locator{
-		Self: settings.Name, Dialer: &dialer.Dialer{Plain: true}, Assigner: p.dispatcher, Logger: p.logger,
+		Self: settings.Name, Dialer: &dialer.Dialer{HTTP1Only: true}, Assigner: p.dispatcher, Logger: p.logger,
 	}
 	p.enforcer = &enforcer.Enforcer{
 		Self:        &wire.QuotaHolder{Name: settings.Name, Incarnation: rand.Uint64()},
-		Controllers: p.watcher, Peers: p.locator, Dialer: &dialer.Dialer{Plain: true}, Logger: p.logger,
+		Controllers: p.watcher, Peers: p.locator, Dialer: &dialer.Dialer{HTTP1Only: true}, Logger: p.logger,
 	}
 	p.locator.Spender = p.enforcer
 	p.dispatcher.Locator, p.dispatcher.Quotas = p.locator, p.enforcer
@@ -97,10 +97,10 @@
 		var f quarantiner.Fingerprint
 		copy(f[:], l.GetFingerprint())
 		if l.GetSuccess() {
-			q.Succeed(now, f)
+			q.RecordSuccess(now, f)
 			continue
 		}
-		q.Lose(now, f, quarantiner.Run{Target: l.GetTarget(), Incarnation: l.GetIncarnation()})
+		q.RecordLoss(now, f, quarantiner.Run{Target: l.GetTarget(), Incarnation: l.GetIncarnation()})
 	}
 }
 
@@ -118,7 +118,7 @@
 
 // kernel lists the services in the order of their start; they stop in reverse.
 func (p *planProgram) kernel() *kernel.Kernel {
-	k := &kernel.Kernel{Logger: p.logger, Patience: p.settings.StopTimeout, Fatal: make(chan error, 1)}
+	k := &kernel.Kernel{Logger: p.logger, StopTimeout: p.settings.StopTimeout, Fatal: make(chan error, 1)}
 	operator := http.NewServeMux()
 	reporter.Mount(operator, p.registry, k)
 	s := p.settings
@@ -128,14 +128,14 @@
 		p.locator,
 		p.enforcer,
 		p.watcher,
-		&listener.Listener{Title: "operator", Address: s.Operator, Handler: operator, Logger: p.logger},
-		&listener.Listener{Title: "caller", Address: s.Caller, Handler: p.dispatcher, Logger: p.logger},
-		&listener.Listener{Title: "ready", Address: s.Ready, Handler: translator.Ready{Check: p.ready}, Logger: p.logger},
+		&listener.Listener{ServiceName: "operator", Address: s.Operator, Handler: operator, Logger: p.logger},
+		&listener.Listener{ServiceName: "caller", Address: s.Caller, Handler: p.dispatcher, Logger: p.logger},
+		&listener.Listener{ServiceName: "ready", Address: s.Ready, Handler: translator.Ready{Check: p.ready}, Logger: p.logger},
 		p.leaver,
 	}
 	if s.Peer.IsValid() {
 		k.Services = slices.Insert(k.Services, 1, kernel.Service(&listener.Listener{
-			Title: "peer", Address: s.Peer, Handler: p.locator.Handler(), Logger: p.logger,
+			ServiceName: "peer", Address: s.Peer, Handler: p.locator.Handler(), Logger: p.logger,
 		}))
 	}
 	return k
--- a/entry/internal/forwarder/admission.go
+++ b/entry/internal/forwarder/admission.go
@@ -42,7 +42,7 @@
 	d.view = v
 	own := v.Pools[service].OwnSlots(now)
 	instances := max(1, v.Instances.Len())
-	d.limit.Bound(own, own+v.Pools[service].BorrowableSlots(now)/instances)
+	d.limit.SetBounds(own, own+v.Pools[service].BorrowableSlots(now)/instances)
 	d.resize(now)
 }
 
@@ -87,11 +87,11 @@
 
 // recordSuccess updates the response time, the concurrency limit and the retry budget.
 func (d *admission) recordSuccess(now time.Time, took time.Duration) {
-	d.budget.Succeed()
+	d.budget.RecordSuccess()
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.responseTime += (took - d.responseTime) / smoothing
-	d.limit.Succeed(d.queue.Running() >= d.queue.Capacity())
+	d.limit.RecordSuccess(d.queue.Running() >= d.queue.Capacity())
 	d.resize(now)
 }
 
@@ -99,7 +99,7 @@
 func (d *admission) recordShed(now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.limit.Shed(now)
+	d.limit.RecordShed(now)
 	d.resize(now)
 }
 
--- a/entry/internal/forwarder/attempt.go
+++ b/entry/internal/forwarder/attempt.go
@@ -65,7 +65,7 @@
 		if !out.timedOut {
 			tried = append(tried, u)
 		}
-		again := j.ctx.Err() == nil && d.budget.Again(retrier.Attempt{
+		again := j.ctx.Err() == nil && d.budget.AllowRetry(retrier.Attempt{
 			Ending:     out.ending,
 			Idempotent: j.idempotent(),
 			Replayable: j.body.replayable(),
@@ -258,7 +258,7 @@
 func (f *Forwarder) recordAnswer(now time.Time, j *job, d *admission, out result) {
 	out.target.Succeed()
 	d.recordSuccess(now, out.took)
-	if f.Quarantine.Succeed(now, j.fingerprint) {
+	if f.Quarantine.RecordSuccess(now, j.fingerprint) {
 		f.LossBroadcaster.BroadcastLoss(&wire.Loss{Fingerprint: j.fingerprint[:], Success: true})
 	}
 }
@@ -287,7 +287,7 @@
 		return
 	}
 	run := quarantiner.Run{Target: u.Name, Incarnation: u.Incarnation}
-	if f.Quarantine.Lose(now, j.fingerprint, run) {
+	if f.Quarantine.RecordLoss(now, j.fingerprint, run) {
 		f.LossBroadcaster.BroadcastLoss(&wire.Loss{
 			Fingerprint: j.fingerprint[:],
 			Target:      u.Name,
--- a/entry/internal/watcher/watcher_test.go
+++ b/entry/internal/watcher/watcher_test.go
@@ -86,7 +86,7 @@
 func startWatcher(t *testing.T, seeds ...netip.AddrPort) *Watcher {
 	t.Helper()
 	w := &Watcher{
-		Instance: &wire.Node{Name: "e1", Region: "r", Zone: "z"}, Seeds: seeds, Dialer: &dialer.Dialer{Plain: true},
+		Instance: &wire.Node{Name: "e1", Region: "r", Zone: "z"}, Seeds: seeds, Dialer: &dialer.Dialer{HTTP1Only: true},
 		Logger: log.NewNopLogger(), OnView: func(*View) {}, OnLosses: func([]*wire.Loss) {},
 	}
 	is.New(t).NoErr(w.Start(context.Background(), nil))
@@ -297,7 +297,7 @@
 	})
 	hosts, loads := make(chan []*wire.Host, 100), make(chan []gauger.Reading, 100)
 	w := &Watcher{
-		Instance: &wire.Node{Name: "e1", Region: "r"}, Seeds: []netip.AddrPort{address}, Dialer: &dialer.Dialer{Plain: true},
+		Instance: &wire.Node{Name: "e1", Region: "r"}, Seeds: []netip.AddrPort{address}, Dialer: &dialer.Dialer{HTTP1Only: true},
 		Logger: log.NewNopLogger(), OnView: func(*View) {}, OnHosts: func(list []*wire.Host) { hosts <- list },
 		OnLoads: func(list []gauger.Reading) { loads <- list },
 	}
--- a/standin/internal/experimenter/policies.go
+++ b/standin/internal/experimenter/policies.go
@@ -115,7 +115,7 @@
 	}
 	in.pool = &balancer.Pool{Tiers: []balancer.Tier{tier}}
 	own := in.pool.OwnSlots(w.now)
-	in.limit.Bound(own, own+in.pool.BorrowableSlots(w.now)/int(w.Entries))
+	in.limit.SetBounds(own, own+in.pool.BorrowableSlots(w.now)/int(w.Entries))
 }
 
 // instances returns the entry instances as partitioner instances.
@@ -222,7 +222,7 @@
 		case h.busy >= int(w.Slots):
 			w.result.Shed++
 			u.Release()
-			in.limit.Shed(w.now)
+			in.limit.RecordShed(w.now)
 			o.retryOrRefuse(w, in, t, c, append(tried, u))
 		default:
 			o.run(w, in, t, c, u)
@@ -236,8 +236,8 @@
 	w.runWork(in.targets[u], c, func() {
 		u.Release()
 		u.Succeed()
-		in.budget.Succeed()
-		in.limit.Succeed(in.queue.Running() >= in.queue.Capacity())
+		in.budget.RecordSuccess()
+		in.limit.RecordSuccess(in.queue.Running() >= in.queue.Capacity())
 		w.answered(c)
 		o.finish(w, in, t)
 	})
@@ -245,7 +245,7 @@
 
 func (o *systemPolicy) retryOrRefuse(w *simulation, in *instance, t *admitter.Ticket, c *call, tried []*balancer.Target) {
 	a := retrier.Attempt{Ending: retrier.Unrun, Replayable: true, Tries: c.tries}
-	if in.budget.Again(a) {
+	if in.budget.AllowRetry(a) {
 		w.result.Retries++
 		o.attempt(w, in, t, c, tried)
 		return
