--- a/entry/internal/enforcer/admit.go
+++ b/entry/internal/enforcer/admit.go
@@ -67,7 +67,7 @@
 // askOwner has another instance count a request.
 func (a *Enforcer) askOwner(ctx context.Context, owner locator.Peer, organisation string) quoter.Verdict {
 	asked := time.Now()
-	r, err := a.Peers.Ask(ctx, owner, &wire.SpendRequest{Organisation: organisation})
+	r, err := a.Peers.SpendAt(ctx, owner, &wire.SpendRequest{Organisation: organisation})
 	now := time.Now()
 	if err != nil {
 		a.backoffs.record(now, asked, organisation, false)
@@ -160,7 +160,7 @@
 	if at := slices.IndexFunc(regionPeers, func(p locator.Peer) bool { return p.Name == v.Peer }); at >= 0 {
 		// If the call fails, the request counts until it has left the window.
 		go func() {
-			_, err := a.Peers.Ask(context.Background(), regionPeers[at], &wire.SpendRequest{
+			_, err := a.Peers.SpendAt(context.Background(), regionPeers[at], &wire.SpendRequest{
 				Organisation: organisation, Returned: true, Age: int64(time.Since(v.CountedAt)),
 			})
 			if err != nil {
--- a/entry/internal/enforcer/enforcer.go
+++ b/entry/internal/enforcer/enforcer.go
@@ -43,8 +43,10 @@
 
 // Peers finds the entry instances that hold the region's parts of quotas, and calls them.
 type Peers interface {
+	// Owner returns the instance that owns an object.
 	Owner(peers []locator.Peer, object uint64) locator.Peer
-	Ask(ctx context.Context, owner locator.Peer, r *wire.SpendRequest) (*wire.SpendResponse, error)
+	// SpendAt has an owner count a request, or return one that was counted.
+	SpendAt(ctx context.Context, owner locator.Peer, r *wire.SpendRequest) (*wire.SpendResponse, error)
 }
 
 // Enforcer is the service. Set the exported fields before Start.
--- a/entry/internal/enforcer/enforcer_test.go
+++ b/entry/internal/enforcer/enforcer_test.go
@@ -80,7 +80,7 @@
 	return locator.Peer{}
 }
 
-func (r *region) Ask(ctx context.Context, owner locator.Peer, s *wire.SpendRequest) (*wire.SpendResponse, error) {
+func (r *region) SpendAt(ctx context.Context, owner locator.Peer, s *wire.SpendRequest) (*wire.SpendResponse, error) {
 	r.calls.Add(1)
 	if owner.Name == "frozen" {
 		r.mu.Lock()
--- a/entry/internal/locator/locator.go
+++ b/entry/internal/locator/locator.go
@@ -186,8 +186,8 @@
 	}), nil
 }
 
-// Ask calls another instance to count a request, or to return one that was counted.
-func (l *Locator) Ask(ctx context.Context, owner Peer, r *wire.SpendRequest) (*wire.SpendResponse, error) {
+// SpendAt calls the owner of an organisation's part to count a request, or to return one that was counted.
+func (l *Locator) SpendAt(ctx context.Context, owner Peer, r *wire.SpendRequest) (*wire.SpendResponse, error) {
 	now := time.Now()
 	bounded, cancel := context.WithTimeout(ctx, spendTimeout)
 	defer cancel()
--- a/entry/internal/locator/locator_test.go
+++ b/entry/internal/locator/locator_test.go
@@ -130,7 +130,7 @@
 			if cancelled {
 				time.AfterFunc(spendTimeout/4, cancel)
 			}
-			_, err := l.Ask(ctx, peers[1], &wire.SpendRequest{})
+			_, err := l.SpendAt(ctx, peers[1], &wire.SpendRequest{})
 			is.True(err != nil)
 			is.Equal(l.Owner(peers, object).Name == "slow", cancelled)
 		})
@@ -146,7 +146,7 @@
 	l.Logger = log.LoggerFunc(func(...any) error { lines.Add(1); return nil })
 	dead := Peer{"dead", netip.MustParseAddrPort("127.0.0.1:1")}
 	for range 20 {
-		_, err := l.Ask(t.Context(), dead, &wire.SpendRequest{})
+		_, err := l.SpendAt(t.Context(), dead, &wire.SpendRequest{})
 		is.True(err != nil)
 	}
 	is.Equal(lines.Load(), int32(1))
