--- a/core/quoter/allotter.go
+++ b/core/quoter/allotter.go
@@ -248,6 +248,7 @@
 	return max(0, q.base()-q.allotted)
 }
 
+// tight reports whether so much of a quota is allotted that holders have to give back what they do not use.
 func (a *Allotter) tight(q *quota) bool {
 	return float64(q.allotted) > tightFraction*float64(q.base())
 }
--- a/core/quoter/ends.go
+++ b/core/quoter/ends.go
@@ -43,7 +43,7 @@
 	}
 	a.expireAt = now.Add(expiryInterval)
 	for id, h := range a.listed {
-		if until := a.heldUntil(now, id, h); !until.IsZero() && !now.Before(until) {
+		if until := a.partsInUseUntil(now, id, h); !until.IsZero() && !now.Before(until) {
 			a.release(h)
 			h.expired = true
 			delete(a.unreported, id)
@@ -59,9 +59,10 @@
 	}
 }
 
-// heldUntil returns until when a holder's parts may be in use, zero if it was listed by this leader and has not
-// reported yet. A superseded run does not admit requests any more, and what it admitted leaves the window.
-func (a *Allotter) heldUntil(now time.Time, id holderID, h *holderState) time.Time {
+// partsInUseUntil returns until when a holder's parts may be in use, zero if it was listed by this leader and has not
+// reported yet. A superseded run admits no more requests, so its parts are in use only until the requests that it
+// admitted have left the window.
+func (a *Allotter) partsInUseUntil(now time.Time, id holderID, h *holderState) time.Time {
 	until, unreported := a.unreported[id]
 	if !unreported {
 		until = h.until
@@ -85,11 +86,12 @@
 	return renewedAt.Add(a.Lease + a.Lease/driftDivisor + a.windowWithDrift())
 }
 
-// windowWithDrift is how long requests that a holder admitted count after it ended.
+// windowWithDrift returns how long the requests of a run count after the run has ended: a window, and the drift of the
+// clocks in it.
 func (a *Allotter) windowWithDrift() time.Duration { return a.Window + a.Window/driftDivisor }
 
-// expireEarlierRuns limits how long the parts of earlier runs of an instance may be in use, given the age of its
-// current run.
+// expireEarlierRuns limits until when the parts of earlier runs of an instance may be in use, given the age of its
+// current run: the earlier ones had ended when it started.
 func (a *Allotter) expireEarlierRuns(now time.Time, id holderID, age time.Duration) {
 	ended := now.Add(a.windowWithDrift() - max(0, age))
 	for other, h := range a.listed {
--- a/core/quoter/holder.go
+++ b/core/quoter/holder.go
@@ -43,7 +43,8 @@
 	renewedAt time.Time
 	// prefetchAt is when parts are next requested in advance.
 	prefetchAt time.Time
-	origin     time.Time
+	// origin is the origin of the windows of all parts; it has to be earlier than their first use.
+	origin time.Time
 }
 
 // Fleet describes the entry instances among which quotas are shared.
@@ -67,12 +68,12 @@
 // region's, and whether this instance holds one.
 func (h *Holder) assign(name string, p *part) {
 	base := baseFraction * (p.rate*h.window.Seconds() + p.burst)
-	all := float64(max(1, h.fleet.Total))
-	p.pooled = base < minDirectPart*all
+	instances := float64(max(1, h.fleet.Total))
+	p.pooled = base < minDirectPart*instances
 	p.owned = !p.pooled || h.fleet.Owns == nil || h.fleet.Owns(name)
-	holders := all
+	holders := instances
 	if p.pooled {
-		holders = all / float64(max(1, h.fleet.InRegion))
+		holders = instances / float64(max(1, h.fleet.InRegion))
 	}
 	p.evenShare = int64(evenFraction * base / holders)
 }
@@ -176,14 +177,14 @@
 	for name, p := range h.parts {
 		used := p.used.Used(now)
 		p.releaseIdle(used)
-		ahead := int64(0)
+		prefetch := int64(0)
 		if prefetchDue {
-			ahead = p.prefetch(used)
+			prefetch = p.prefetch(used)
 		}
-		if p.dirty || p.wanted > 0 || ahead > 0 || h.fullReport && p.held+used > 0 {
+		if p.dirty || p.wanted > 0 || prefetch > 0 || h.fullReport && p.held+used > 0 {
 			p.reportedIn, p.reportedUse = h.sequence, used
 			out.Parts = append(out.Parts, &wire.Part{
-				Organisation: name, Held: p.held, Used: used, Wanted: p.wanted, Ahead: ahead,
+				Organisation: name, Held: p.held, Used: used, Wanted: p.wanted, Ahead: prefetch,
 			})
 			p.wanted = 0
 		}
--- a/core/quoter/leased_test.go
+++ b/core/quoter/leased_test.go
@@ -29,7 +29,7 @@
 	state     keeper.Keeper
 	sent      int
 	relaxAt   time.Time
-	// leaderDown: no leader answers.
+	// leaderDown is set while no leader answers.
 	leaderDown bool
 	// dropMessage reports whether a message is lost.
 	dropMessage func() bool
--- a/core/quoter/part.go
+++ b/core/quoter/part.go
@@ -13,8 +13,10 @@
 // part is this instance's part of one organisation's quota.
 type part struct {
 	// rate and burst are those of the whole quota.
-	rate   float64
-	burst  float64
+	rate  float64
+	burst float64
+	// held is the size of the part in requests per window, used counts the requests in the window, and wanted counts
+	// the waiting requests that the next request to the allotter reports as demand.
 	held   int64
 	used   limiter.Window
 	wanted int64
@@ -22,7 +24,8 @@
 	reportedIn uint64
 	// reportedUse is the use reported in that request.
 	reportedUse int64
-	// dirty is set when the allotter does not know the current part.
+	// dirty is set when the allotter does not know the current part, tight when it reported the quota as tight: nearly
+	// all of the base amount is allotted, so unused parts have to be given back.
 	dirty bool
 	tight bool
 	// pooled is set if one instance holds the part for its whole region, owned if this instance holds a part. evenShare
--- a/core/quoter/quoter_test.go
+++ b/core/quoter/quoter_test.go
@@ -22,8 +22,9 @@
 	startTime     = time.Unix(1000, 0)
 )
 
-// report summarises a simulation: the fraction of refused requests, of those that quotas allowed, before and after a
-// given second, and the fullest window relative to its bound.
+// report summarises a simulation: before and after are the fractions of requests refused although the quotas allowed
+// them, before and after a given second, fullestWindow is the fullest window relative to its bound, and served is the
+// fraction of the requests allowed by the quotas that were granted.
 type report struct {
 	before           float64
 	after            float64
@@ -45,12 +46,12 @@
 			continue
 		}
 		for second := 2; second < len(o.askedBySecond); second++ {
-			part := 0
+			phase := 0
 			if second >= changeSecond {
-				part = 1
+				phase = 1
 			}
-			asked[part] += float64(o.askedBySecond[second])
-			refused[part] += float64(o.refused[second])
+			asked[phase] += float64(o.askedBySecond[second])
+			refused[phase] += float64(o.refused[second])
 		}
 	}
 	out.before, out.after = refused[0]/max(1, asked[0]), refused[1]/max(1, asked[1])
@@ -93,7 +94,7 @@
 }
 
 // Guards against a strategy that works for one system size only.
-func TestPooledPartsAtSizes(t *testing.T) {
+func TestPooledPartsAtDifferentSystemSizes(t *testing.T) {
 	for _, size := range []struct{ instances, organisations int }{{12, 88}, {186, 88}, {300, 300}} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
 			is := is.New(t)
@@ -164,7 +165,8 @@
 		refused += o.refused[7] + o.refused[8]
 		late += o.refused[10] + o.refused[11]
 	}
-	t.Logf("refused %.3f while there was no leader, %d in the first seconds of the next one", float64(refused)/float64(asked), late)
+	t.Logf("refused %.3f while there was no leader, %d in the first seconds of the next one",
+		float64(refused)/float64(asked), late)
 	is.True(float64(refused) < 0.5*float64(asked))
 	is.True(float64(late) < 0.001*float64(asked))
 }
@@ -247,7 +249,7 @@
 }
 
 // Guards against disconnected entry instances that go on using parts that were allotted to others meanwhile.
-func TestPartsOfDisconnectedInstances(t *testing.T) {
+func TestDisconnectedInstancesStayWithinQuota(t *testing.T) {
 	is := is.New(t)
 	w := &simulation{
 		tolerance: testTolerance, instances: 30, organisations: skewed(20, 600),
@@ -275,7 +277,9 @@
 	lowered := &wire.Plan{Version: 2}
 	for _, o := range w.organisations {
 		rate := o.GetRate() / 4
-		lowered.Organisations = append(lowered.Organisations, &wire.Organisation{Name: o.GetName(), Rate: &rate, Burst: &rate})
+		lowered.Organisations = append(lowered.Organisations, &wire.Organisation{
+			Name: o.GetName(), Rate: &rate, Burst: &rate,
+		})
 	}
 	w.onStep = func(now time.Time, at time.Duration) {
 		if at == 6*time.Second {
@@ -447,12 +451,12 @@
 func TestBrokenRulesExceedTheQuota(t *testing.T) {
 	for name, breakRule := range map[string]func(l *leased){
 		"a new leader does not wait for the holders": func(l *leased) { clear(l.allotter.unreported) },
-		"each leader allots the rest again": func(l *leased) {
+		"each leader allots the reserve again": func(l *leased) {
 			for _, o := range l.plan.GetOrganisations() {
 				l.allotter.stretchedInTerm[o.GetName()] = true
 			}
 		},
-		"a superseded run holds nothing": func(l *leased) {
+		"a superseded run is assumed to hold nothing": func(l *leased) {
 			for id, h := range l.allotter.listed {
 				if l.allotter.latest[id.name] != id {
 					l.allotter.release(h)
--- a/core/quoter/replay_test.go
+++ b/core/quoter/replay_test.go
@@ -45,7 +45,8 @@
 	// refused and askedBySecond count requests by the second in which they arrived.
 	refused       []int
 	askedBySecond []int
-	times         []time.Time
+	// times are those at which requests were granted.
+	times []time.Time
 }
 
 const defaultStep = 2 * time.Millisecond
--- a/core/quoter/strategies_test.go
+++ b/core/quoter/strategies_test.go
@@ -68,7 +68,7 @@
 func (c *counted) admit(now time.Time, instance, organisation int, done func(decided time.Time, granted bool)) {
 	used := &c.used[instance][organisation]
 	others := c.othersUsed[instance][organisation]
-	// Since the last report the others may have admitted as much as in an equally long time before.
+	// Since the last report the others may have admitted requests at the same rate as in the window before it.
 	since := 1 + float64(now.Sub(c.updatedAt[instance]))/float64(5*time.Second)
 	done(now, used.Take(now, c.limits[organisation]-int64(float64(others)*since), 1))
 }
