--- a/core/granter/granter.go
+++ b/core/granter/granter.go
@@ -112,8 +112,8 @@
 	}
 	amount := min(g.target(limit, id), limit.Cap-g.outstandingExcept(o.GetResource(), id))
 	// The previous leader may have granted to holders that have not reported to this one. Until all its grants have
-	// expired, a holder keeps at most what it has in force. Use that only still counts in its window is not included:
-	// its lease may have expired long before.
+	// expired, a holder keeps at most the share that it has in force. Use that still counts in the holder's window is
+	// not proof of such a share: its lease may have expired long before.
 	if now.Before(g.ElectedAt.Add(g.grace())) {
 		amount = min(amount, s.held)
 	}
--- a/core/granter/granter_test.go
+++ b/core/granter/granter_test.go
@@ -111,10 +111,10 @@
 	old.SetLimits(limits)
 	instances := newInstances(now, "late", "other")
 	settle(t, now, old, instances[:1], 0)
-	ask := now.Add(1200 * time.Millisecond)
-	sequence, holdings := instances[0].Request(ask.Add(testLease - time.Millisecond))
+	lastRenewal := now.Add(1200 * time.Millisecond)
+	sequence, holdings := instances[0].Request(lastRenewal.Add(testLease - time.Millisecond))
 	is.Equal(holdings[0].GetHeld(), int64(50)) // all that is granted without demand
-	later := ask.Add(old.grace() + time.Millisecond)
+	later := lastRenewal.Add(old.grace() + time.Millisecond)
 	settle(t, later, old, instances[1:], 100)
 	is.Equal(instances[1].Limit(later, resource), int64(100))
 	successor := &Granter{Lease: testLease, ElectedAt: later}
--- a/core/granter/holder.go
+++ b/core/granter/holder.go
@@ -15,7 +15,8 @@
 type Holder struct {
 	mu       sync.Mutex
 	sequence uint64
-	sent     time.Time
+	// sent is when the latest request was made.
+	sent time.Time
 	// renewing is set if the latest request reported shares in force.
 	renewing bool
 	// deadline is when all shares expire. It is counted from when the accepted request was sent.
@@ -24,8 +25,10 @@
 }
 
 type heldShare struct {
+	// active is set while the resource is among those that SetResources was last called with.
 	active bool
 	limit  int64
+	// window counts the units used, demand those that would be used if all of them were granted.
 	window limiter.Window
 	demand limiter.Window
 }
