--- a/core/admitter/admitter_test.go
+++ b/core/admitter/admitter_test.go
@@ -83,7 +83,8 @@
 	assertOffer(t, a, ticket(cataloguer.Urgent, "club"), true, true)
 }
 
-// Guards against one organisation's peak delaying another's: its requests must wait behind each other only.
+// Guards against one organisation's peak that delays the requests of another: the requests of the peak must wait behind
+// each other only.
 func TestOrganisationsShareFairly(t *testing.T) {
 	is := is.New(t)
 	a := newAdmitter(4)
