--- a/core/keeper/keeper.go
+++ b/core/keeper/keeper.go
@@ -26,7 +26,7 @@
 	// changeID identifies the change that put the catalogue in force.
 	changeID  string
 	catalogue []byte
-	// verdicts are by the id of the change; verdictOrder lists these ids, oldest first.
+	// verdicts holds the verdicts by the ids of the changes; verdictOrder lists these ids, oldest first.
 	verdicts     map[string]*wire.Verdict
 	verdictOrder []string
 
@@ -47,7 +47,7 @@
 
 // Apply applies one committed command and returns its result.
 func (k *Keeper) Apply(c *wire.Command) *wire.Result {
-	// The clocks of successive leaders differ. If time went backwards, an expired key would become valid again.
+	// The clocks of successive leaders differ. If time went backwards, an expired key of a claim would become valid again.
 	k.clock = max(k.clock, c.GetAt())
 	now := time.UnixMilli(k.clock)
 	switch {
--- a/core/keeper/plan_test.go
+++ b/core/keeper/plan_test.go
@@ -65,7 +65,9 @@
 func TestEvacuationsSurviveASnapshot(t *testing.T) {
 	is := is.New(t)
 	k := &Keeper{}
-	for _, e := range []*wire.Evacuation{{Zone: "b", On: true}, {Zone: "a", On: true}, {Zone: "b", On: true}, {Zone: "c"}} {
+	for _, e := range []*wire.Evacuation{
+		{Zone: "b", On: true}, {Zone: "a", On: true}, {Zone: "b", On: true}, {Zone: "c"},
+	} {
 		k.Apply(&wire.Command{Evacuation: e})
 	}
 	is.Equal(k.EvacuatedZones(), []string{"a", "b"})
