--- a/core/planner/organisations_test.go
+++ b/core/planner/organisations_test.go
@@ -59,7 +59,9 @@
 	}
 	is.Equal(original.GetOrganisations()[0].GetKeys()[0], "s3cret") // the plan that operators read back keeps its keys
 	table := NewTable(hashed)
-	for key, want := range map[string]string{"s3cret": "a", "second": "a", "third": "b", "": "", "s3cre": "", "s3crets": ""} {
+	for key, want := range map[string]string{
+		"s3cret": "a", "second": "a", "third": "b", "": "", "s3cre": "", "s3crets": "",
+	} {
 		found, ok := table.Organisation(key)
 		is.Equal(found.GetName(), want)
 		is.Equal(ok, want != "")
@@ -106,7 +108,8 @@
 func BenchmarkOrganisation(b *testing.B) {
 	p := keyed()
 	for i := range 100000 {
-		p.Organisations = append(p.Organisations, organisation("o"+string(rune(i)), "key-"+strings.Repeat("x", i%7)+string(rune(i))))
+		p.Organisations = append(p.Organisations,
+			organisation("o"+string(rune(i)), "key-"+strings.Repeat("x", i%7)+string(rune(i))))
 	}
 	table := NewTable(p)
 	b.ReportAllocs()
