--- a/entry/internal/enforcer/admit.go
+++ b/entry/internal/enforcer/admit.go
@@ -38,8 +38,9 @@
 			if v.Outcome != quoter.Lacking && v.Outcome != quoter.Unknown {
 				return v
 			}
-			// An instance that did not answer is left out and replaced by another one. One that lacks parts has waited
-			// already. One that does not know the organisation yet answers at once.
+			// A short pause suffices for an instance that did not answer, which is excluded and replaced by another one,
+			// and for one that lacks parts, which has waited already. One that does not know the organisation yet answers
+			// at once.
 			retryAt = time.Now().Add(peerRetryDelay)
 		}
 		select {
@@ -66,18 +67,18 @@
 
 // askOwner has another instance count a request.
 func (a *Enforcer) askOwner(ctx context.Context, owner locator.Peer, organisation string) quoter.Verdict {
-	asked := time.Now()
+	calledAt := time.Now()
 	r, err := a.Peers.SpendAt(ctx, owner, &wire.SpendRequest{Organisation: organisation})
 	now := time.Now()
 	if err != nil {
-		a.backoffs.record(now, asked, organisation, false)
+		a.backoffs.record(now, calledAt, organisation, false)
 		return quoter.Verdict{Outcome: quoter.Unknown, Peer: owner.Name}
 	}
 	out := quoter.Verdict{
 		Outcome: quoter.Outcome(slices.Index(outcomes, r.GetOutcome())), RetryAt: now.Add(time.Duration(r.GetRetry())),
 		Held: r.GetHeld(), Used: r.GetUsed(), RenewedAt: now.Add(-time.Duration(r.GetAge())), Peer: owner.Name,
 	}
-	a.backoffs.record(now, asked, organisation, out.Outcome != quoter.Unknown)
+	a.backoffs.record(now, calledAt, organisation, out.Outcome != quoter.Unknown)
 	if out.Outcome == quoter.Granted {
 		out.CountedAt = now
 	}
--- a/entry/internal/enforcer/backoff.go
+++ b/entry/internal/enforcer/backoff.go
@@ -8,7 +8,7 @@
 const (
 	// maxBackoff limits the pause between two calls about an organisation while they fail.
 	maxBackoff = 320 * time.Millisecond
-	// maxMisses is the number of failures in a row from which on the pause is not doubled any more.
+	// maxMisses is the most failures in a row that count for the pause, which has reached maxBackoff by then.
 	maxMisses = 8
 )
 
@@ -22,7 +22,7 @@
 
 // backoff is the state of the calls about one organisation.
 type backoff struct {
-	// misses counts the calls in a row that failed, failed is when the last of them ended.
+	// misses counts the calls in a row that got no usable answer, failed is when the last of them ended.
 	misses int
 	failed time.Time
 	// due is when the next call may be made.
@@ -49,7 +49,7 @@
 	return now, true
 }
 
-// record records whether a call that was started at asked got a usable answer.
+// record records whether a call that was made at the time asked got a usable answer.
 func (t *backoffs) record(now, asked time.Time, organisation string, answered bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/entry/internal/enforcer/enforcer.go
+++ b/entry/internal/enforcer/enforcer.go
@@ -49,7 +49,7 @@
 	SpendAt(ctx context.Context, owner locator.Peer, r *wire.SpendRequest) (*wire.SpendResponse, error)
 }
 
-// Enforcer is the service. Set the exported fields before Start.
+// Enforcer is the service that decides on requests by quotas. Set the exported fields before Start.
 type Enforcer struct {
 	Self        *wire.QuotaHolder
 	Controllers Controllers
@@ -59,7 +59,8 @@
 
 	mu     sync.Mutex
 	holder quoter.Holder
-	// answered is closed and replaced after a call to a controller has succeeded or failed.
+	// answered is closed and replaced after each call to a controller, except when the controller requires a report of
+	// all parts first.
 	answered chan struct{}
 	wake     chan struct{}
 	failing  bool
--- a/entry/internal/enforcer/enforcer_test.go
+++ b/entry/internal/enforcer/enforcer_test.go
@@ -160,7 +160,7 @@
 }
 
 // Guards against requests that are refused because the instance that counts for the region does not answer.
-func TestAnotherInstanceTakesOver(t *testing.T) {
+func TestUnresponsiveOwnerIsReplaced(t *testing.T) {
 	is := is.New(t)
 	r := newRegion(t, "frozen", "b")
 	v := r.admit("b")
@@ -181,7 +181,7 @@
 }
 
 // Guards against a quota that is used up by requests which have not run.
-func TestRequestsThatDidNotRunAreReturnedToTheirCounter(t *testing.T) {
+func TestRequestsThatDidNotRunAreReturnedToTheOwner(t *testing.T) {
 	is := is.New(t)
 	r := newRegion(t, "a", "b")
 	for range 20 {
@@ -207,7 +207,7 @@
 
 // Guards against an instance that has no time left to update its plan. While the instance that counts for its
 // region did not know an organisation, each waiting request called it again every few milliseconds.
-func TestWaitingRequestsAreRateLimited(t *testing.T) {
+func TestCallsOfWaitingRequestsAreRateLimited(t *testing.T) {
 	is := is.New(t)
 	r := newRegion(t, "a", "b")
 	older := plan()
