--- a/core/gossiper/exchange.go
+++ b/core/gossiper/exchange.go
@@ -79,7 +79,7 @@
 	}
 }
 
-// compare records whether another controller's digest differs from this one's, and since when.
+// compare records whether another controller's digest differs from this controller's, and since when.
 func (g *Gossiper) compare(now time.Time, p *peer, digest uint64) {
 	differs := digest != g.digest
 	if differs && !p.differs {
--- a/core/gossiper/gossiper.go
+++ b/core/gossiper/gossiper.go
@@ -23,8 +23,8 @@
 	// Period is the interval of exchanges between controllers while nothing changes.
 	Period = 400 * time.Millisecond
 	// reachableTimeout is how long after an answered exchange a controller counts as reachable: two periods and two
-	// round trips. An entry instance has to learn of a leaving target within 2.5 s, and before that has to turn to
-	// another controller if its own is cut off.
+	// round trips. An entry instance has to learn of a leaving target within 2.5 s. If its controller is cut off, it
+	// first has to turn to another one within that time.
 	reachableTimeout = 1100 * time.Millisecond
 	// repairAfter is how long the digests of two controllers may differ before one sends the other all its records. A
 	// change reaches all controllers within a round trip; a difference that lasts longer comes from a change that was
--- a/core/gossiper/hosts.go
+++ b/core/gossiper/hosts.go
@@ -16,8 +16,8 @@
 // records of it while the targets still hold their objects warm; without this copy, each object would be run cold at
 // another target.
 type hosts struct {
-	// known holds the hosts by the keys that keyOf returns.
-	known     map[string]*hostEntry
+	// byKey holds the hosts by the keys that keyOf returns.
+	byKey     map[string]*hostEntry
 	changeLog changeLog
 	counter   uint64
 }
@@ -33,18 +33,19 @@
 // keyOf returns the key of an object in a region.
 func keyOf(h *wire.Host) string { return strconv.FormatUint(h.GetObject(), 16) + "/" + h.GetRegion() }
 
-// merge adds the hosts that supersede the known ones; local is set for those from entry instances or from the disk.
+// merge adds the hosts that are new or supersede the stored ones; local is set for those from entry instances or from
+// the disk.
 func (h *hosts) merge(list []*wire.Host, local bool) {
-	if h.known == nil {
-		h.known = map[string]*hostEntry{}
+	if h.byKey == nil {
+		h.byKey = map[string]*hostEntry{}
 	}
 	for _, host := range list {
 		key := keyOf(host)
-		if old, ok := h.known[key]; ok && !supersedes(host, old.host) {
+		if old, ok := h.byKey[key]; ok && !supersedes(host, old.host) {
 			continue
 		}
 		h.counter++
-		h.known[key] = &hostEntry{host, h.counter, local}
+		h.byKey[key] = &hostEntry{host, h.counter, local}
 		h.changeLog.add(h.counter, key, h.lastChange)
 	}
 	h.evictOldest()
@@ -54,23 +55,23 @@
 	return placer.Supersedes(next.GetVersion(), next.GetTarget(), old.GetVersion(), old.GetTarget())
 }
 
-// lastChange returns the counter at which a host last changed, or 0 if it is not known.
+// lastChange returns the counter at which a host last changed, or 0 if it is not stored.
 func (h *hosts) lastChange(key string) uint64 {
-	if m, ok := h.known[key]; ok {
+	if m, ok := h.byKey[key]; ok {
 		return m.changed
 	}
 	return 0
 }
 
 func (h *hosts) evictOldest() {
-	if len(h.known) <= maxHosts {
+	if len(h.byKey) <= maxHosts {
 		return
 	}
-	oldest := slices.SortedFunc(maps.Keys(h.known), func(a, b string) int {
-		return int(h.known[a].changed) - int(h.known[b].changed)
+	oldest := slices.SortedFunc(maps.Keys(h.byKey), func(a, b string) int {
+		return int(h.byKey[a].changed) - int(h.byKey[b].changed)
 	})
 	for _, key := range oldest[:len(oldest)-maxHosts] {
-		delete(h.known, key)
+		delete(h.byKey, key)
 	}
 }
 
@@ -78,7 +79,7 @@
 func (h *hosts) since(counter uint64, wanted func(m *hostEntry) bool) []*wire.Host {
 	var out []*wire.Host
 	for _, key := range h.changeLog.since(counter, h.lastChange) {
-		if m := h.known[key]; wanted(m) {
+		if m := h.byKey[key]; wanted(m) {
 			out = append(out, m.host)
 		}
 	}
@@ -87,9 +88,9 @@
 
 // removeTarget removes the hosts at a target.
 func (h *hosts) removeTarget(target string) {
-	before := len(h.known)
-	maps.DeleteFunc(h.known, func(_ string, m *hostEntry) bool { return m.host.GetTarget() == target })
-	if len(h.known) < before {
+	before := len(h.byKey)
+	maps.DeleteFunc(h.byKey, func(_ string, m *hostEntry) bool { return m.host.GetTarget() == target })
+	if len(h.byKey) < before {
 		h.counter++
 	}
 }
@@ -100,7 +101,9 @@
 // mergeHosts merges hosts, except those at targets that have left: an entry instance that receives such a host after a
 // start waits for the target to announce itself, and refuses the object's requests meanwhile.
 func (g *Gossiper) mergeHosts(list []*wire.Host, local bool) {
-	g.hosts.merge(slices.DeleteFunc(slices.Clone(list), func(h *wire.Host) bool { return g.hasLeft(h.GetTarget()) }), local)
+	g.hosts.merge(
+		slices.DeleteFunc(slices.Clone(list), func(h *wire.Host) bool { return g.hasLeft(h.GetTarget()) }), local,
+	)
 }
 
 // hasLeft reports whether a target is known to be leaving or to have left.
--- a/core/gossiper/nodes.go
+++ b/core/gossiper/nodes.go
@@ -28,7 +28,7 @@
 	changed uint64
 }
 
-// removal is an entry instance that has expired.
+// removal is an entry instance that has expired, and the counter at which it was removed.
 type removal struct {
 	name    string
 	changed uint64
@@ -101,7 +101,8 @@
 	return out
 }
 
-// since returns the changes after a counter, or the full list and true if those are no longer all known.
+// since returns the changes after a counter, or the full list and true for a new watcher or if some of the removals are
+// no longer kept.
 func (n *instances) since(now time.Time, counter uint64) ([]*wire.Seen, bool) {
 	if counter == 0 || counter < n.evictedUpTo {
 		return n.live(now), true
--- a/core/gossiper/trail.go
+++ b/core/gossiper/trail.go
@@ -8,13 +8,13 @@
 	entries []changeEntry
 }
 
-// changeEntry records that a name changed at a counter. It is obsolete once the name has changed again.
+// changeEntry records the counter at which a name changed. It is obsolete once the name has changed again.
 type changeEntry struct {
 	counter uint64
 	name    string
 }
 
-// minEntries is how many entries are kept before obsolete ones are removed.
+// minEntries is the number of entries below which obsolete ones are not removed.
 const minEntries = 64
 
 // add appends a change. lastChange returns the counter at which a name last changed, or 0 if the name is no longer
