--- a/core/replicator/group_test.go
+++ b/core/replicator/group_test.go
@@ -59,9 +59,11 @@
 	inFlight []*wire.Message
 	serial   uint64
 	names    []string
-	chosen   map[uint64]string
-	acked    map[uint64]uint64
-	pending  map[uint64]uint64
+	// chosen holds the term and data of each committed entry, by index.
+	chosen map[uint64]string
+	// acked and pending hold the terms of acknowledged entries and of all proposed ones, by index.
+	acked   map[uint64]uint64
+	pending map[uint64]uint64
 	// blocked holds the pairs of replicas between which no message passes.
 	blocked map[[2]string]bool
 	// The naive flags each disable a safeguard whose absence a test has to detect.
@@ -251,6 +253,7 @@
 	}
 }
 
+// deliver delivers the message at position i. With keep, the message stays in flight and may be delivered again.
 func (g *group) deliver(i int, keep bool) {
 	m := g.inFlight[i]
 	if !keep {
@@ -336,7 +339,8 @@
 		g.deliver(0, false)
 	}
 	last := g.inFlight[0]
-	g.t.Fatalf("%d messages at one instant, the next from %s to %s: %s", limit, last.GetFrom().GetName(), last.GetTo().GetName(), last)
+	g.t.Fatalf("%d messages at one instant, the next from %s to %s: %s",
+		limit, last.GetFrom().GetName(), last.GetTo().GetName(), last)
 }
 
 // runFor runs without further faults for a while; what is disconnected or blocked stays so.
--- a/core/replicator/membership.go
+++ b/core/replicator/membership.go
@@ -24,8 +24,8 @@
 	})
 }
 
-// handleJoin records a join request on the leader; another replica forwards it to the leader. A new replica knows a few
-// addresses only, and none of them may be the leader's.
+// handleJoin records a join request on the leader; another replica forwards it to the leader. A new replica knows only
+// a few addresses, and the leader's may not be among them.
 func (r *Replica) handleJoin(m *wire.Message) {
 	if r.role == Leader {
 		r.joiners[idOf(m.GetFrom())] = m.GetFrom()
@@ -122,6 +122,7 @@
 	r.changeConfig(now, config)
 }
 
+// admit adds the first waiting replica that may join as a learner, and reports whether there was one.
 func (r *Replica) admit(now time.Time) bool {
 	for _, k := range sortedIDs(r.joiners) {
 		j := r.joiners[k]
@@ -149,8 +150,8 @@
 	return slices.ContainsFunc(r.log.config().GetMembers(), func(m *wire.Member) bool { return idOf(m) == k })
 }
 
-// mayJoin refuses a new replica while another disk of its name still answers: two processes started under one name by
-// mistake must not replace each other in turn.
+// mayJoin reports whether a new replica may join. It may not while another disk of its name still answers: two
+// processes started under one name by mistake must not replace each other in turn.
 func (r *Replica) mayJoin(now time.Time, j *wire.Member) bool {
 	at := predecessor(r.log.config(), j)
 	if at < 0 {
--- a/core/replicator/replica.go
+++ b/core/replicator/replica.go
@@ -208,7 +208,7 @@
 	return e.GetIndex(), e.GetTerm(), nil
 }
 
-// Flush sends the entries proposed since the last heartbeat; call it once after a batch of proposals.
+// Flush sends the entries that have been proposed but not sent yet; call it once after a batch of proposals.
 func (r *Replica) Flush(now time.Time) {
 	if r.role != Leader {
 		return
--- a/core/replicator/replication.go
+++ b/core/replicator/replication.go
@@ -32,8 +32,9 @@
 	}
 }
 
-// addressed reports whether a message is meant for this disk and group. A replica whose disk was replaced would
-// otherwise answer for the entries that its old disk acknowledged, and a committed change could be lost.
+// addressed reports whether a message is meant for this disk and group; messages for others are dropped. A replica
+// whose disk was replaced would otherwise answer for the entries that its old disk acknowledged, and a committed change
+// could be lost. A replica that belongs to no group yet adopts that of the message.
 func (r *Replica) addressed(m *wire.Message) bool {
 	if m.GetFrom() == nil {
 		return false
@@ -96,7 +97,7 @@
 
 func (r *Replica) sendSnapshot(now time.Time, p *progress) {
 	if now.Before(p.resendAt) {
-		// The heartbeat is still sent, so that a replica that is catching up keeps receiving messages of the leader.
+		// The heartbeat is still sent, so that a replica that is catching up keeps receiving messages from the leader.
 		r.send(p.member, &wire.Message{
 			Kind:  wire.MessageKind_MESSAGE_APPEND,
 			Term:  r.term,
@@ -197,7 +198,8 @@
 	r.handleAccepted(now, p, m.GetIndex())
 }
 
-// recordConfirmation counts a lease from when the round was sent, never from when its reply arrived.
+// recordConfirmation records when the round that a replica replied to was sent. A lease counts from that time, never
+// from when the reply arrived.
 func (r *Replica) recordConfirmation(p *progress, round uint64) {
 	sent, ok := r.rounds[round]
 	if ok && sent.After(p.confirmed) {
@@ -249,8 +251,8 @@
 		return
 	}
 	if r.log.term(s.GetIndex()) == s.GetTerm() {
-		// The log already holds what the snapshot covers. Replacing it would drop entries after the
-		// snapshot that this replica has acknowledged, and that a leader may have counted.
+		// The log already holds the entries that the snapshot covers. Replacing it would drop entries after the snapshot
+		// that this replica has acknowledged and that a leader may have counted.
 		r.commit = s.GetIndex()
 		r.reply(m, &wire.Message{Index: s.GetIndex()})
 		return
--- a/core/replicator/schedule_test.go
+++ b/core/replicator/schedule_test.go
@@ -35,6 +35,7 @@
 	c.terms += int(g.replicas[0].term)
 }
 
+// pick returns a random number from 0 to most.
 func (g *group) pick(most int) int { return g.random.IntN(most + 1) }
 
 // run executes one schedule: mostly time, messages and proposals, with an occasional fault.
