--- a/controller/internal/consenter/apply.go
+++ b/controller/internal/consenter/apply.go
@@ -12,6 +12,7 @@
 	"chervilrail.example/core/wire"
 )
 
+// apply applies a committed entry to the state, and answers the caller that waits for its result, if any.
 func (c *Consenter) apply(e *wire.Entry) {
 	c.committed = e.GetIndex()
 	c.quotas.applied = e.GetTerm()
@@ -68,6 +69,7 @@
 	c.failProposals()
 }
 
+// failProposals answers all waiting callers with an OutcomeUnknownError.
 func (c *Consenter) failProposals() {
 	for index, p := range c.proposals {
 		delete(c.proposals, index)
@@ -75,6 +77,7 @@
 	}
 }
 
+// updateLimits reads the limits from the catalogue in force if it has changed.
 func (c *Consenter) updateLimits() {
 	if c.state.CatalogueNumber() == c.catalogueNumber {
 		return
@@ -82,7 +85,8 @@
 	c.catalogueNumber = c.state.CatalogueNumber()
 	parsed, err := cataloguer.Parse("catalogue", c.state.Catalogue())
 	if err != nil {
-		_ = level.Error(c.Logger).Log("msg", "failed to parse catalogue in force", "number", c.catalogueNumber, "err", err)
+		_ = level.Error(c.Logger).Log("msg", "failed to parse catalogue in force",
+			"number", c.catalogueNumber, "err", err)
 		return
 	}
 	c.limits = parsed.Limits()
--- a/controller/internal/consenter/consenter.go
+++ b/controller/internal/consenter/consenter.go
@@ -55,12 +55,14 @@
 	Logger          log.Logger
 	Fatal           chan<- error
 
-	replica         replicator.Replica
-	store           storer.Storer
-	state           keeper.Keeper
-	grants          granter.Granter
-	roster          roster
-	proposals       map[uint64]*proposal
+	replica replicator.Replica
+	store   storer.Storer
+	state   keeper.Keeper
+	grants  granter.Granter
+	roster  roster
+	// proposals holds the proposals that callers wait for, by log index.
+	proposals map[uint64]*proposal
+	// committed is the log index of the last applied entry.
 	committed       uint64
 	lastRole        replicator.Role
 	catalogueNumber uint64
--- a/controller/internal/consenter/loop.go
+++ b/controller/internal/consenter/loop.go
@@ -97,8 +97,8 @@
 	return nil
 }
 
-// saveGroup saves the group once the replica has learned it: without it, a replica could join another group's log after
-// a restart.
+// saveGroup saves the group's id once the replica has learned it. Otherwise, a replica could join another group's log
+// after a restart.
 func (c *Consenter) saveGroup() error {
 	if c.roster.group == c.replica.Group {
 		return nil
@@ -119,7 +119,8 @@
 	}
 }
 
-// address prefers the address in the settings, so that a replica that moved to another address is reachable again.
+// address returns the address of a replica. It prefers the one in the settings, so that a replica that moved to another
+// address is reachable again.
 func (c *Consenter) address(m *wire.Member) (netip.AddrPort, bool) {
 	if address, ok := c.Peers[m.GetName()]; ok {
 		return address, true
