--- a/controller/internal/consenter/events.go
+++ b/controller/internal/consenter/events.go
@@ -142,7 +142,8 @@
 }
 
 // Propose runs a command through the replicated log and returns its result. After a NotLeaderError or a
-// ProposalReplacedError the command certainly did not run; after an OutcomeUnknownError it may have run or may still run.
+// ProposalReplacedError the command certainly did not run; after an OutcomeUnknownError it may have run or may still
+// run.
 func (c *Consenter) Propose(ctx context.Context, command *wire.Command) (*wire.Result, error) {
 	reply := make(chan answer, 1)
 	if err := c.enqueue(ctx, proposeEvent{command, reply}); err != nil {
