--- a/core/storer/errors.go
+++ b/core/storer/errors.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// DamageError reports stored records that were synced and can't be read or are missing. Offset is in bytes.
+// DamageError reports that records which were synced to disk can't be read or are missing. Offset is in bytes.
 type DamageError struct {
 	Path   string
 	Offset int64
--- a/core/storer/hosts.go
+++ b/core/storer/hosts.go
@@ -12,8 +12,8 @@
 
 const hostsFile = "hosts"
 
-// HostStore stores the hosts of objects in a file of its own. Hosts are hints: losing them only makes requests run more
-// slowly, so reading and writing them must not delay records that have to be durable.
+// HostStore stores the hosts of objects in a file of its own. Hosts are hints: losing them only costs slow runs of
+// requests, so neither reading nor writing them may delay records that have to be durable.
 type HostStore struct {
 	Folder string
 }
--- a/core/storer/record.go
+++ b/core/storer/record.go
@@ -23,6 +23,7 @@
 )
 
 const (
+	// headerSize and maxRecordSize are in bytes.
 	headerSize    = 9
 	maxRecordSize = 256 << 20
 	serialBase    = 10
@@ -117,7 +118,7 @@
 	return record{kind, payload}, headerSize + size, nil
 }
 
-// validRecordAfter reports whether data, which begin with an invalid record, contain a valid record at a later offset.
+// validRecordAfter reports whether there is a valid record at a later offset in data that begin with an invalid one.
 func validRecordAfter(data []byte) bool {
 	for at := 1; at+headerSize <= len(data); at++ {
 		kind := recordKind(data[at+8])
--- a/core/storer/storer.go
+++ b/core/storer/storer.go
@@ -188,8 +188,8 @@
 	return s.syncFolder()
 }
 
-// replaceFile replaces a file atomically and durably: after a crash, either the old or the new file is there
-// completely.
+// replaceFile replaces a file atomically and durably: after a crash, it has either its old or its new content, never a
+// part.
 func (s *Storer) replaceFile(name string, data []byte) error {
 	path := filepath.Join(s.Folder, name)
 	temporary := path + ".new"
