--- a/core/registrar/errors.go
+++ b/core/registrar/errors.go
@@ -5,7 +5,7 @@
 	"strconv"
 )
 
-// AnnouncementError reports the field because of which an announcement was refused.
+// AnnouncementError reports that an announcement was refused, and because of which field.
 type AnnouncementError struct {
 	Field    string
 	Expected string
--- a/core/registrar/registrar.go
+++ b/core/registrar/registrar.go
@@ -16,7 +16,7 @@
 const (
 	// Lease is how long an announcement is valid. Targets renew it well before it expires.
 	Lease = 6 * time.Second
-	// AnnouncementInterval is the time between two announcements that targets are asked to keep.
+	// AnnouncementInterval is the interval at which targets are asked to announce themselves.
 	AnnouncementInterval = time.Second
 	// MaxTargets is the highest number of targets that a Registrar holds.
 	MaxTargets = 100_000
@@ -103,7 +103,7 @@
 
 // claimAddress assigns an address to the target that started last on it. A target that held the address before is
 // marked as gone. A delayed announcement of the former holder would otherwise direct requests for its service to the
-// present holder, which appears as refusals by targets that receive requests for another service.
+// present holder; the symptom is that targets refuse requests for another service.
 func (g *Registrar) claimAddress(r *wire.Record) bool {
 	if r.GetAddress() == "" {
 		return true
--- a/core/registrar/registrar_test.go
+++ b/core/registrar/registrar_test.go
@@ -185,8 +185,8 @@
 }
 
 // A target's last heartbeats reach only disconnected controllers and, through them, some instances. The target then
-// leaves through a controller that has an earlier heartbeat. If announcements were ordered by sequence alone, those
-// instances would take the leaving for older than the heartbeat and continue to send requests.
+// leaves through a controller that has only an earlier heartbeat. If announcements were ordered by sequence alone,
+// those instances would treat the leave as older than the heartbeats, and continue to send requests.
 func TestLeavingPrecedesLaterHeartbeats(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
