--- a/core/balancer/balancer.go
+++ b/core/balancer/balancer.go
@@ -1,5 +1,5 @@
 // Package balancer chooses the target of a request. It prefers near targets, and among those of a tier compares two
-// random candidates by the requests that this instance has outstanding there. It is safe for concurrent use.
+// random candidates by the requests that this instance has outstanding at each. It is safe for concurrent use.
 package balancer
 
 import (
@@ -11,7 +11,7 @@
 const (
 	// MaxReportAge is the age from which a reported load is ignored.
 	MaxReportAge = 3 * time.Second
-	// WarmUpTime is how long the limit of a new target grows until all its slots are used.
+	// WarmUpTime is the time over which the limit of a new target grows until all its slots may be used.
 	WarmUpTime = 10 * time.Second
 
 	// ejectionThreshold is the number of consecutive failures from which a target is ejected: for minEjection at first,
