--- a/core/storer/hosts_test.go
+++ b/core/storer/hosts_test.go
@@ -11,8 +11,8 @@
 	"chervilrail.example/core/wire"
 )
 
-// Guards against reading a part of a file that was damaged by a power failure during a write or by a disk error: requests
-// would be sent to targets that never held their objects. A file is read completely or refused.
+// Guards against reading a part of a file that was damaged by a power failure during a write or by a disk error:
+// requests would be sent to targets that never held their objects. A file is read completely or refused.
 func TestHostsFile(t *testing.T) {
 	is := is.New(t)
 	file := &HostStore{Folder: t.TempDir()}
