--- a/controller/internal/exchanger/announcements.go
+++ b/controller/internal/exchanger/announcements.go
@@ -11,12 +11,12 @@
 	"chervilrail.example/core/wire"
 )
 
-// Announce accepts a target's announcement and shares it with the other controllers. An announcement that the target
-// is leaving returns without an error only once a majority of the voters have acknowledged it. If only this controller
-// had it and were then disconnected, the others would go on sending requests to a target that expects none.
+// Announce accepts a target's announcement and shares it with the other controllers. For a leaving target, it returns
+// without an error only once a majority of the voters have acknowledged the announcement. If only this controller had
+// it and were then disconnected, requests would still be sent to a target that was assured it receives none.
 //
-// It returns an error of registrar.CheckForm for a malformed record, a NotJoinedError before this controller has joined
-// the group, and a NoQuorumError if a leaving target is not acknowledged in time.
+// It returns an error of registrar.CheckFormat for a malformed record, a NotJoinedError before this controller has
+// joined the group, and a NoQuorumError if a leaving target is not acknowledged in time.
 func (x *Exchanger) Announce(ctx context.Context, r *wire.Record) error {
 	if err := registrar.CheckFormat(r); err != nil {
 		return err
@@ -47,10 +47,10 @@
 	return x.awaitQuorum(ctx, r.GetName(), counter)
 }
 
-// Leave records that a target has ended. An incarnation of zero stands for the one known here. If the target is unknown
+// Leave records that a target has left. An incarnation of zero stands for the one known here. If the target is unknown
 // and names no incarnation, Leave returns an UnknownTargetError, and the target tries another controller: without an
 // incarnation, the record could not override delayed announcements of the target. A leave of an incarnation older than
-// the known one is ignored. Other errors are those of Announce for a leaving target.
+// the known one is ignored. As in Announce, a NoQuorumError means that the record was not acknowledged in time.
 func (x *Exchanger) Leave(ctx context.Context, name string, incarnation uint64) error {
 	x.mu.Lock()
 	record, known := x.gossip.Target(name)
@@ -86,7 +86,8 @@
 		select {
 		case <-changed:
 		case <-ctx.Done():
-			_ = level.Warn(x.Logger).Log("msg", "leaving target not acknowledged by a majority", "target", target, "counter", counter)
+			_ = level.Warn(x.Logger).Log("msg", "leaving target not acknowledged by a majority",
+				"target", target, "counter", counter)
 			return &NoQuorumError{}
 		}
 	}
--- a/controller/internal/exchanger/exchanger.go
+++ b/controller/internal/exchanger/exchanger.go
@@ -55,8 +55,8 @@
 	peers   map[string]*peer
 	// hadQuorum is the result of hasQuorum that watchers were last notified of.
 	hadQuorum bool
-	// notifiedHosts is the gossip state's counter of hosts at the last notification about hosts. hostsPending is set
-	// while another one is scheduled.
+	// notifiedHosts is the gossip state's counter of host changes at the last notification about hosts. hostsPending is
+	// set while another one is scheduled.
 	notifiedHosts uint64
 	hostsPending  bool
 
@@ -144,8 +144,9 @@
 	}
 }
 
-// checkQuorum notifies watchers when this controller loses or regains the majority. Without it, this controller misses
-// decisions that bind its watchers too, such as that a target leaves; so they switch to another controller at once.
+// checkQuorum notifies watchers when this controller loses or regains contact with a majority of the voters. After a
+// loss they switch to another controller at once: this one misses decisions that are binding for them too, such as that
+// a target leaves.
 func (x *Exchanger) checkQuorum(now time.Time) {
 	hasQuorum := x.hasQuorum(now)
 	x.mu.Lock()
--- a/controller/internal/exchanger/exchanger_test.go
+++ b/controller/internal/exchanger/exchanger_test.go
@@ -32,7 +32,9 @@
 
 func startExchanger(t *testing.T, voters ...string) *Exchanger {
 	t.Helper()
-	x := &Exchanger{Self: "c1", Consensus: consensus{voters}, Dialer: &dialer.Dialer{Plain: true}, Logger: log.NewNopLogger()}
+	x := &Exchanger{
+		Self: "c1", Consensus: consensus{voters}, Dialer: &dialer.Dialer{Plain: true}, Logger: log.NewNopLogger(),
+	}
 	is.New(t).NoErr(x.Start(context.Background(), nil))
 	t.Cleanup(func() { is.New(t).NoErr(x.Stop(context.Background())) })
 	return x
@@ -46,7 +48,8 @@
 }
 
 // A target announces itself to a controller that is then disconnected, and leaves through another one that does not
-// know it. If the leave were acknowledged there, the target's delayed announcement would bring it back into use.
+// know it. If the leave were acknowledged there, the target's delayed announcement would bring it back into use seconds
+// later, with no record that it has left.
 func TestLeaveOfUnknownTargetIsRefused(t *testing.T) {
 	is := is.New(t)
 	x := startExchanger(t, "c1")
@@ -124,8 +127,8 @@
 func TestWatchReturnsOnChange(t *testing.T) {
 	is := is.New(t)
 	x := startExchanger(t, "c1")
-	node := &wire.Node{Name: "e1", Caller: "10.0.0.9:80"}
-	first := watch(t, x, &wire.WatchRequest{Node: node})
+	instance := &wire.Node{Name: "e1", Caller: "10.0.0.9:80"}
+	first := watch(t, x, &wire.WatchRequest{Node: instance})
 	is.Equal(first.GetPlan().GetVersion(), uint64(1))
 	is.True(first.GetLinked())
 	go func() {
@@ -134,7 +137,7 @@
 	}()
 	started := time.Now()
 	next := watch(t, x, &wire.WatchRequest{
-		Node: node, Run: first.GetRun(), Counter: first.GetCounter(), Version: 1, Revision: first.GetRevision(),
+		Node: instance, Run: first.GetRun(), Counter: first.GetCounter(), Version: 1, Revision: first.GetRevision(),
 	})
 	is.Equal(len(next.GetRecords()), 1)
 	is.True(next.GetPlan() == nil)
--- a/controller/internal/exchanger/submit.go
+++ b/controller/internal/exchanger/submit.go
@@ -37,7 +37,7 @@
 	return response.Msg, nil
 }
 
-// leader returns a client of the leader.
+// leader returns a client for calls to the leader, or a NoLeaderError if none is known.
 func (x *Exchanger) leader() (wireconnect.ExchangeClient, error) {
 	address, err := netip.ParseAddrPort(x.Consensus.Routing().LeaderAddress())
 	if err != nil {
