--- a/core/storer/recovery.go
+++ b/core/storer/recovery.go
@@ -124,8 +124,8 @@
 	return truncateFile(path, int64(offset))
 }
 
-// truncateFile syncs after truncating. The removed tail could otherwise reappear after a power failure, when newer
-// segments follow, and look like damage to acknowledged records.
+// truncateFile truncates a file and syncs it. Without the sync, the removed tail could reappear after a power failure,
+// when newer segments follow, and look like damage to acknowledged records.
 func truncateFile(path string, size int64) error {
 	file, err := os.OpenFile(path, os.O_WRONLY, fileMode)
 	if err != nil {
--- a/core/storer/storer.go
+++ b/core/storer/storer.go
@@ -97,8 +97,8 @@
 	return s.rotate()
 }
 
-// write makes a failure permanent: after a failed sync the kernel may drop the dirty pages and report success for the
-// next sync, and an entry that is not on disk would be acknowledged.
+// write appends to the segment and syncs it. A failure is permanent: after a failed sync the kernel may drop the dirty
+// pages and report success for the next sync, and an entry that is not on disk would be acknowledged.
 func (s *Storer) write(buffer []byte) error {
 	path := s.segment.Name()
 	if _, err := s.segment.Write(buffer); err != nil {
