--- a/core/balancer/balancer.go
+++ b/core/balancer/balancer.go
@@ -33,7 +33,7 @@
 	At   time.Time
 }
 
-// Target is one back end as seen by this instance.
+// Target is one target of a service as seen by this instance.
 type Target struct {
 	Name        string
 	Incarnation uint64
@@ -217,6 +217,8 @@
 // limitFunc returns how many requests this instance may have outstanding at a target.
 type limitFunc func(u *Target, now time.Time) int32
 
+// chooseFromTier reserves a slot at the cheaper of two random targets, at the other one if it has none free, or at any
+// target of the tier. It returns nil if there is no free slot.
 func (b *Balancer) chooseFromTier(now time.Time, targets, excluded []*Target, limit limitFunc) *Target {
 	n := uint64(len(targets))
 	if n == 0 {
