--- a/core/replicator/replication.go
+++ b/core/replicator/replication.go
@@ -251,8 +251,8 @@
 		return
 	}
 	if r.log.term(s.GetIndex()) == s.GetTerm() {
-		// The log already holds the entries that the snapshot covers. Replacing it would drop entries after the snapshot
-		// that this replica has acknowledged and that a leader may have counted.
+		// The log already holds the entries that the snapshot covers. Replacing it would drop entries after the
+		// snapshot that this replica has acknowledged and that a leader may have counted.
 		r.commit = s.GetIndex()
 		r.reply(m, &wire.Message{Index: s.GetIndex()})
 		return
