--- a/controller/internal/exchanger/hosts.go
+++ b/controller/internal/exchanger/hosts.go
@@ -37,7 +37,8 @@
 	Save(list []*wire.Host) error
 }
 
-// loadHosts adds the hosts stored by an earlier run to the gossip state. If they can't be read, objects are placed anew.
+// loadHosts adds the hosts stored by an earlier run to the gossip state. If they can't be read, objects are placed
+// anew.
 func (x *Exchanger) loadHosts() {
 	if x.HostStore == nil {
 		return
