--- a/core/balancer/balancer_test.go
+++ b/core/balancer/balancer_test.go
@@ -79,7 +79,7 @@
 // An instance's own slots are in use while slots of other instances are idle. It may use one of those, but only at a
 // target with a low load in a fresh report: otherwise requests of the instance that the slot is assigned to would be
 // shed.
-func TestBorrowing(t *testing.T) {
+func TestBorrowsOnlyWithFreshLowReport(t *testing.T) {
 	u := &Target{Slots: 4, Region: "almaty"}
 	p := &Pool{Tiers: []Tier{{Region: "almaty", Targets: []*Target{u}}}}
 	b := balancer(8)
--- a/core/storer/hosts_test.go
+++ b/core/storer/hosts_test.go
@@ -13,7 +13,7 @@
 
 // Guards against reading a part of a file that was damaged by a power failure during a write or by a disk error:
 // requests would be sent to targets that never held their objects. A file is read completely or refused.
-func TestHostsFile(t *testing.T) {
+func TestHostsFileIsReadCompletelyOrRefused(t *testing.T) {
 	is := is.New(t)
 	file := &HostStore{Folder: t.TempDir()}
 	none, err := file.Load()
