--- a/core/storer/storer.go
+++ b/core/storer/storer.go
@@ -97,8 +97,8 @@
 	return s.rotate()
 }
 
-// write makes a failure permanent: after a failed sync the kernel may drop the dirty pages and report success for the
-// next sync, and an entry that is not on disk would be acknowledged.
+// write appends to the segment and syncs it. A failure is permanent: after a failed sync the kernel may drop the dirty
+// pages and report success for the next sync, and an entry that is not on disk would be acknowledged.
 func (s *Storer) write(buffer []byte) error {
 	path := s.segment.Name()
 	if _, err := s.segment.Write(buffer); err != nil {
@@ -188,8 +188,8 @@
 	return s.syncFolder()
 }
 
-// replaceFile replaces a file atomically and durably: after a crash, either the old or the new file is there
-// completely.
+// replaceFile replaces a file atomically and durably: after a crash, it has either its old or its new content, never a
+// part.
 func (s *Storer) replaceFile(name string, data []byte) error {
 	path := filepath.Join(s.Folder, name)
 	temporary := path + ".new"
