--- a/core/chooser/chooser.go
+++ b/core/chooser/chooser.go
@@ -1,4 +1,4 @@
-// Package chooser answers look-ups: which entry instances a caller should use, in which order.
+// Package chooser answers look-ups: it selects the entry instances that a caller should use, and their order.
 package chooser
 
 import (
@@ -26,7 +26,7 @@
 // List is an immutable set of instances. Build it with New.
 type List struct {
 	count int
-	// regions holds for each region the instances grouped by distance, near ones first.
+	// regions holds for each region the instances grouped by distance, the nearest group first.
 	regions map[string][][]Instance
 }
 
@@ -60,7 +60,7 @@
 // Len returns how many instances there are.
 func (l *List) Len() int { return l.count }
 
-// MaxAnswers is the most instances that an answer names.
+// MaxAnswers is the largest number of instances that an answer names.
 const MaxAnswers = 3
 
 // Choose fills out with up to MaxAnswers instances for a client. The first is chosen from the nearest region by
@@ -90,10 +90,11 @@
 // ranking keeps the best instances of a group in one pass.
 type ranking struct {
 	top [MaxAnswers]candidate
-	// otherZone is the best in another availability zone than that of the first.
+	// otherZone is the best instance in an availability zone other than that of top[0].
 	otherZone candidate
 }
 
+// candidate is an instance with its score for one client.
 type candidate struct {
 	instance *Instance
 	score    float64
@@ -123,8 +124,8 @@
 	}
 }
 
-// appendTo adds the best instance to out from position count on, then the best of another availability zone, then the
-// rest by score. It returns the new count.
+// appendTo adds the best instance to out at index count, then the best of another availability zone, then the rest by
+// score. It returns the new count.
 func (r *ranking) appendTo(out *[MaxAnswers]*Instance, count int) int {
 	order := [MaxAnswers + 1]*Instance{r.top[0].instance, r.otherZone.instance, r.top[1].instance, r.top[2].instance}
 	for _, in := range order {
