--- a/core/partitioner/partitioner.go
+++ b/core/partitioner/partitioner.go
@@ -1,6 +1,6 @@
-// Package partitioner divides the slots of targets among entry instances, so that each sends only into slots of its
-// own. Every instance computes the same division from the same lists. While the lists differ for a moment, a target may
-// get more requests than it has slots, and sheds them unrun.
+// Package partitioner divides the slots of targets among entry instances, so that each instance sends requests only
+// into slots of its own. Every instance computes the same division from the same lists. While the lists differ for a
+// moment, a target may get more requests than it has slots; it rejects the excess ones without running them.
 package partitioner
 
 import (
@@ -9,14 +9,14 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Target is a target with its slots.
+// Target is a target of a service and the number of its slots.
 type Target struct {
 	Name   string
 	Region string
 	Slots  int32
 }
 
-// Instance is an entry instance that takes part.
+// Instance is an entry instance that sends requests to the targets.
 type Instance struct {
 	Name   string
 	Region string
@@ -28,7 +28,7 @@
 	byRegion map[string][]string
 }
 
-// NewMembers sorts the instances that take part.
+// NewMembers sorts the instances that share the targets.
 func NewMembers(instances []Instance) *Members {
 	p := &Members{byRegion: map[string][]string{}}
 	for _, in := range instances {
@@ -73,7 +73,8 @@
 	return out
 }
 
-// Owner returns the instance that alone sends to a target: one of its region, or any where the region has none.
+// Owner returns the one instance that may send requests to a target whose slots are not divided, such as a cold one: an
+// instance of the given region, or of any region if that one has no instance.
 func Owner(target string, members *Members, region string) string {
 	return HighestWeight(target, members.forRegion(region))
 }
--- a/core/partitioner/partitioner_test.go
+++ b/core/partitioner/partitioner_test.go
@@ -48,12 +48,12 @@
 	is := is.New(t)
 	in, targets := setup(12, 21, 3)
 	for _, i := range in {
-		own := int32(0)
+		ownSlots := int32(0)
 		for u, n := range Partition(i.Name, NewMembers(in), targets) {
-			own += n
+			ownSlots += n
 			is.True(n == 0 || targets[u].Region == i.Region) // only in its own region
 		}
-		is.True(own == 5 || own == 6)
+		is.True(ownSlots == 5 || ownSlots == 6)
 	}
 }
 
@@ -61,11 +61,11 @@
 	is := is.New(t)
 	in, targets := setup(12, 3, 1)
 	for _, i := range in {
-		own := int32(0)
+		ownSlots := int32(0)
 		for _, n := range Partition(i.Name, NewMembers(in), targets) {
-			own += n
+			ownSlots += n
 		}
-		is.Equal(own, int32(1))
+		is.Equal(ownSlots, int32(1))
 	}
 }
 
