--- a/core/placer/assigner.go
+++ b/core/placer/assigner.go
@@ -13,7 +13,7 @@
 // AssignRequest asks for the target of an object. It is sent to the instance that owns the object.
 type AssignRequest struct {
 	Object string
-	// Route is the route that the object belongs to; objects of one route need about the same work.
+	// Route is the route that the object belongs to. Objects of one route need about the same work.
 	Route string
 	// Hint is the target at which the requester last saw the object, or empty.
 	Hint string
@@ -37,25 +37,26 @@
 	Reason string
 	// FirstRun is set for the request that makes the object's first run at the target.
 	FirstRun bool
-	// Changed is set when the object's target changed, or was not known to this instance.
+	// Changed is set when the object's target was assigned by this request or move; other instances have to be
+	// informed.
 	Changed bool
 }
 
-// assigner keeps the targets of objects: of those that this instance owns, and, as received from others, of all that
+// assigner stores the targets of objects: of those that this instance owns, and, as received from others, of all that
 // the region's instances use. It is made for a load at which most targets run objects cold: if each instance chose by
 // its own view of the targets' load, instances would disagree about an object, and it would run cold at several
 // targets, one after the other and at the same time, until the slots are full of such runs. With one owner an object
-// runs cold once; the owner has the counts of the objects of all instances at each target, so that targets get even
-// numbers; and other instances need not ask again.
+// runs cold once. The owner counts the objects of all instances at each target, so that targets get even numbers, and
+// other instances need not ask it again for every request.
 type assigner struct {
 	objects map[uint64]*assignedObject
-	// objectCounts holds how many objects of each route a target has, by its name, with all objects under the empty
-	// route.
+	// objectCounts holds how many objects of each route a target has: by the target's name, then by route, with the
+	// count of all its objects under the empty route.
 	objectCounts map[string]map[string]int
-	// owns reports whether this instance owns an object; owned are the known ones of those.
+	// owns reports whether this instance owns an object; owned holds the assigned ones among those.
 	owns  func(object uint64) bool
 	owned map[uint64]*assignedObject
-	// regionShares are the parts of the objects that go to each region, by its slots.
+	// regionShares are the fractions of the objects that go to each region, computed from its slots.
 	regionShares map[string]float64
 	// offset, from 0 to 1, is where this instance starts among equal targets. Otherwise all instances would fill the
 	// same ones first.
@@ -75,7 +76,7 @@
 type assignedObject struct {
 	target string
 	route  string
-	// version grows with each move; of two assignments that are received, the one with the higher version holds.
+	// version grows with each move; of two assignments received, the one with the higher version is kept.
 	version  uint64
 	placedAt time.Time
 	warmAt   time.Time
@@ -83,7 +84,7 @@
 	lastRequest AssignRequest
 }
 
-// ObjectHash identifies an object where its name would be too long.
+// ObjectHash returns the number that identifies an object where its name would be too long.
 func ObjectHash(name string) uint64 { return xxhash.Sum64String(name) }
 
 // SetOwnership sets which objects this instance owns, and its position among the total number of instances that own
@@ -100,7 +101,8 @@
 	}
 }
 
-// Assign returns the target of a request for an object that this instance owns, and assigns one if there is none.
+// Assign returns the target of a request for an object that this instance owns. It assigns one if the object has none,
+// or if its target can't be used.
 func (p *Placer) Assign(now time.Time, request AssignRequest) Assignment {
 	a := &p.assigner
 	object := ObjectHash(request.Object)
@@ -121,8 +123,8 @@
 	return assignment
 }
 
-// Lookup returns the assignment of an object as received or decided by this instance, false if its owner has to be
-// asked.
+// Lookup returns the assignment of an object as received or decided by this instance. It returns false if there is none
+// that can be used, and the object's owner has to be asked.
 func (p *Placer) Lookup(now time.Time, object uint64, regions []string) (Assignment, bool) {
 	assigned, ok := p.assigner.objects[object]
 	if !ok || !p.Eligible(now, assigned.target, regions) {
@@ -141,8 +143,8 @@
 	return target < oldTarget
 }
 
-// RecordAssignment takes an assignment that another instance made, or this one in an earlier run. It is ignored unless
-// it supersedes the known one.
+// RecordAssignment stores an assignment that another instance made, or this one in an earlier run. It is ignored unless
+// it supersedes the stored one.
 func (p *Placer) RecordAssignment(now time.Time, object uint64, target, route string, version uint64) {
 	a := &p.assigner
 	if old, ok := a.objects[object]; ok && !Supersedes(version, target, old.version, old.target) {
@@ -151,7 +153,8 @@
 	a.store(object, &assignedObject{target: target, route: route, version: version, placedAt: now})
 }
 
-// assign assigns an object to a target: the one in the hint if it can be used, otherwise the least loaded one.
+// assign assigns an object to a target: the one in the hint if it can be used, otherwise the least loaded one. A hinted
+// target that may still announce itself is returned without an assignment.
 func (p *Placer) assign(now time.Time, object uint64, request AssignRequest) Assignment {
 	a := &p.assigner
 	if old, ok := a.objects[object]; ok && request.Hint == "" {
@@ -180,7 +183,7 @@
 	return p.assigner.placeAt(now, object, request, target.Name, reason)
 }
 
-// placeAt stores a new version of an object's assignment.
+// placeAt stores a new version of an object's assignment, and returns it for a request that makes the first run.
 func (a *assigner) placeAt(now time.Time, object uint64, request AssignRequest, target, reason string) Assignment {
 	next := &assignedObject{
 		target: target, route: request.Route, version: 1, placedAt: now, warmAt: now.Add(request.ColdTime),
@@ -230,15 +233,16 @@
 	delete(a.owned, object)
 }
 
-// eligible reports whether a target may continue to be the host of an object.
+// eligible reports whether a target may keep an object that is assigned to it, or get one: it is the current one of its
+// name, not down, and in one of the regions.
 func (p *Placer) eligible(now time.Time, target *Target, regions []string) bool {
 	return p.byName[target.Name] == target && !target.down(now) && inRegions(target.Region, regions)
 }
 
-// Eligible reports whether a target may be used for an object that it has warm.
+// Eligible reports whether the target of a name is there and may be used for an object that it has warm.
 func (p *Placer) Eligible(now time.Time, target string, regions []string) bool {
-	known, ok := p.byName[target]
-	return ok && p.eligible(now, known, regions)
+	found, ok := p.byName[target]
+	return ok && p.eligible(now, found, regions)
 }
 
 func inRegions(region string, regions []string) bool {
--- a/core/placer/assigner_test.go
+++ b/core/placer/assigner_test.go
@@ -12,6 +12,7 @@
 
 const coldRun = 900 * time.Millisecond
 
+// newAssignRequest returns a request for an object of the route "view".
 func newAssignRequest(object string) AssignRequest {
 	return AssignRequest{Object: object, Route: "view", ColdTime: coldRun}
 }
@@ -22,17 +23,19 @@
 	for region, n := range map[string]int{"few": 2, "many": 6, "most": 6} {
 		for i := range n {
 			out = append(out, Spec{
-				Name: fmt.Sprintf("%s-%d", region, i), Incarnation: 1, Region: region, Zone: region, Slots: 9, OwnSlots: 1,
+				Name: fmt.Sprintf("%s-%d", region, i), Incarnation: 1, Region: region, Zone: region, Slots: 9,
+				OwnSlots: 1,
 			})
 		}
 	}
 	return out
 }
 
-func newOwner(region string, specs []Spec, position, of int) *Placer {
+// newOwner returns a placer of an instance that owns all objects; its position is among the total number of owners.
+func newOwner(region string, specs []Spec, position, total int) *Placer {
 	p := &Placer{Region: region, Zone: region, InterRegionRTT: 24 * time.Millisecond}
-	p.Update(start.Add(-time.Minute), specs, of)
-	p.SetOwnership(func(uint64) bool { return true }, position, of)
+	p.Update(start.Add(-time.Minute), specs, total)
+	p.SetOwnership(func(uint64) bool { return true }, position, total)
 	return p
 }
 
@@ -45,8 +48,8 @@
 	return counts
 }
 
-// Guards against a second request that runs cold beside the first run of an object that no target has warm: it would
-// take three times its slot time and end no earlier.
+// Guards against a second request that runs cold at the same time as the first run of an object that no target has
+// warm: it would take three times its slot time and end no earlier.
 func TestSecondRequestWaitsForFirstRun(t *testing.T) {
 	is := is.New(t)
 	p := newOwner("many", threeRegionSpecs(), 0, 1)
@@ -66,8 +69,8 @@
 	is.Equal(placed[0].Decision.Target.Name, first.Target)
 }
 
-// Guards against a request that waits for the object's first run though its time is over by then: it is refused at
-// once, with a time to retry.
+// Guards against a request that waits for the object's first run although that ends later than the request may wait:
+// the request is refused at once, with a time to retry.
 func TestRequestThatCannotWaitForFirstRunIsRefused(t *testing.T) {
 	is := is.New(t)
 	p := newOwner("many", threeRegionSpecs(), 0, 1)
@@ -80,8 +83,8 @@
 }
 
 // Guards against targets with three times as many objects as others, as when objects are assigned at random: callers
-// wait in queues there while other targets idle. Assigned by count they are even, also over the objects of all
-// instances.
+// wait in queues there while other targets idle. Assigned by count, objects are spread evenly, also the objects of all
+// instances taken together.
 func TestObjectsAreSpreadEvenly(t *testing.T) {
 	specs := threeRegionSpecs()
 	for region, want := range map[string]float64{"most": 44.0 / 6, "few": 0.43 * 44 / 2} {
@@ -102,7 +105,7 @@
 	}
 }
 
-// Guards against moves of objects whose target is still there when another target is lost: they would run cold.
+// Guards against moves of objects whose own target is still there when another target is lost: they would run cold.
 func TestOnlyObjectsOfLostTargetMove(t *testing.T) {
 	is := is.New(t)
 	specs := threeRegionSpecs()
@@ -122,8 +125,8 @@
 	}
 }
 
-// Guards against cold runs of all objects of a lost owner: the next owner has no record of them, and must use the hint
-// of the requester, where the object was last.
+// Guards against cold runs of all objects of a lost owner: the next owner has no record of them, and must use the
+// requester's hint, the target where the object was last.
 func TestNextOwnerUsesHints(t *testing.T) {
 	is := is.New(t)
 	p := newOwner("many", threeRegionSpecs(), 1, 2)
@@ -135,7 +138,7 @@
 }
 
 // Guards against cold runs of all objects on a few targets after all instances restart at once: an object's target has
-// kept it warm and announces itself within seconds, but not as the first one.
+// kept it warm and announces itself within seconds, but other targets do so earlier.
 func TestObjectsWaitForTheirTargetsAfterRestart(t *testing.T) {
 	is := is.New(t)
 	specs := threeRegionSpecs()
@@ -218,8 +221,9 @@
 	is.True(atHome(now) > 95)
 }
 
-// Guards against a target that stays empty after a cold period. Its objects were assigned elsewhere, and since it was
-// known all the time, it does not count as joined; without its share of objects it would idle beside full targets.
+// Guards against a target that stays empty after a cold period. Its objects were assigned elsewhere, and since the
+// target was there all the time, it does not count as joined; without its share of objects it would idle beside full
+// targets.
 func TestTargetGetsItsShareAfterColdPeriod(t *testing.T) {
 	is := is.New(t)
 	specs := threeRegionSpecs()
@@ -249,7 +253,8 @@
 	is.True(busy.Target != nil)
 	k := &Ticket{
 		Host: "a", FirstRun: true, WarmTime: 300 * time.Millisecond, ColdTime: 1100 * time.Millisecond,
-		SoftDeadline: start.Add(800 * time.Millisecond), Deadline: start.Add(1200 * time.Millisecond), Decided: make(chan Decision, 1),
+		SoftDeadline: start.Add(800 * time.Millisecond), Deadline: start.Add(1200 * time.Millisecond),
+		Decided: make(chan Decision, 1),
 	}
 	decision, decided := p.Offer(start, k)
 	if !decided {
--- a/core/placer/balancer_test.go
+++ b/core/placer/balancer_test.go
@@ -10,7 +10,8 @@
 	"chervilrail.example/core/gauger"
 )
 
-// overfillOne returns instances that own objects which are all at one target.
+// overfillOne returns instances that each own a number of objects, all of them at one target, and the name of that
+// target.
 func overfillOne(instances, objects int) (list []*Placer, overloaded string) {
 	specs := threeRegionSpecs()
 	overloaded = "most-0"
@@ -26,8 +27,8 @@
 	return list, overloaded
 }
 
-// balanceAll lets all instances balance for a time, while the overloaded target's reported load stays the same, and
-// counts the moves, and those of them that cross regions.
+// balanceAll lets all instances balance for a time, while only the overloaded target reports a load, always the same.
+// It counts the moves, and those of them that cross regions.
 func balanceAll(list []*Placer, overloaded string, load float64, span time.Duration) (moved, crossed int) {
 	now := start.Add(minStay)
 	for end := now.Add(span); now.Before(end); now = now.Add(balanceInterval) {
@@ -144,8 +145,8 @@
 	is.True(most <= 20) // 30 each if all instances chose the four emptiest
 }
 
-// Guards against a crash of an entry instance: a plan removes the regions that a route's objects are in, and then a
-// target joins. Such objects are left to the next request.
+// Guards against a crash of an entry instance after a plan removes the regions that a route's objects are in, and then
+// a target joins. Such objects are moved by the next request for them.
 func TestObjectsOutsideAllowedRegionsAreNotBalanced(t *testing.T) {
 	is := is.New(t)
 	specs := threeRegionSpecs()
--- a/core/placer/choice.go
+++ b/core/placer/choice.go
@@ -8,26 +8,26 @@
 )
 
 const (
-	// warmQueue is how many requests may queue at a target that has the object warm. It works three times as fast as
-	// any other, so a short wait there beats a free slot elsewhere.
+	// warmQueue is how many requests may queue at a target that has the object warm. Such a target works three times as
+	// fast as any other, so a short wait there beats a free slot elsewhere.
 	warmQueue = 1.5
-	// lessUrgentQueue is the same for requests with a less urgent priority than the service's most urgent one, which
-	// keeps a place in that queue.
+	// lessUrgentQueue is the same for requests that are less urgent than the most urgent ones of the service; it keeps
+	// a place in that queue for the latter.
 	lessUrgentQueue = 1
-	// lateQueue is the same for requests that can't be on time any more; it is low so that those that can find a
-	// shorter queue.
+	// lateQueue is the same for requests that can't be on time any more. It is low so that requests that can still be
+	// on time meet a shorter queue.
 	lateQueue = 0.5
-	// scarceUtilisation is the part of taken slots above which requests wait for the hosts of their objects and start
-	// nowhere else, where they would take the time of three others and evict other objects.
+	// scarceUtilisation is the fraction of slots in use above which requests wait for the hosts of their objects and
+	// start nowhere else, where they would take the time of three others and evict other objects.
 	scarceUtilisation = 0.3
-	// crossZoneCost prefers the own availability zone among otherwise equal targets: traffic between zones costs money,
-	// and the time hardly differs.
+	// crossZoneCost is added for targets in other availability zones, so that the own zone is preferred among otherwise
+	// equal targets: traffic between zones costs money, and the time hardly differs.
 	crossZoneCost = time.Millisecond
-	// fullTargetCost is what a full target costs over an empty one, where both have room.
+	// fullTargetCost is what a full target costs more than an empty one, where both have room.
 	fullTargetCost = 10 * time.Millisecond
 )
 
-// place takes a slot for a request, or returns nil if no target has room for it.
+// place selects a target for a request and counts the request there, or returns nil if no target has room for it.
 func (p *Placer) place(now time.Time, t *Ticket) *Target {
 	target := p.choose(now, t)
 	if target != nil {
@@ -46,8 +46,8 @@
 	return now.Before(p.firstTargetAt.Add(announcePeriod))
 }
 
-// awaited reports whether the host of an object has yet to announce itself. Elsewhere the object would run cold and
-// evict others whose targets have announced themselves already. A target that was there and left is not awaited.
+// awaited reports whether the host of an object may still have to announce itself. Elsewhere the object would run cold
+// and evict others whose targets have announced themselves already. A target that was there and left is not awaited.
 func (p *Placer) awaited(now time.Time, host string) bool {
 	return host != "" && p.starting(now) && !p.announced[host]
 }
@@ -62,8 +62,8 @@
 }
 
 // hostWithRoom returns the host of a request's object, or nil if it has no room. A request that arrives during the
-// object's first run there waits where slots are scarce or a cold run would be late: it would run cold beside that run,
-// take the slot time of three others, and end no sooner.
+// object's first run there waits if slots are scarce or a cold run would be late: it would run cold at the same time,
+// take the slot time of three other requests, and end no sooner.
 func (p *Placer) hostWithRoom(now time.Time, t *Ticket, host *Target) *Target {
 	if now.Before(t.WarmAt) && (p.snapshot.slotsScarce || now.Add(t.ColdTime).After(t.SoftDeadline)) {
 		return nil
@@ -120,23 +120,23 @@
 	return inRegions(target.Region, t.Regions)
 }
 
-// outstanding estimates how many requests a target holds: this instance's own, which are known exactly, and those of
+// outstanding estimates how many requests are at a target: this instance's own, which it counts exactly, and those of
 // other instances. What the target last reported of others loses weight with its age; the rest of the weight goes to
-// the average target. The shared load is not used here: all instances would stay away from a target for as long as that
-// is out of date, and then all come at once.
+// the average over all targets. The shared load is not used here: all instances would stay away from a target for as
+// long as that is out of date, and then all would send to it at once.
 func (p *Placer) outstanding(now time.Time, t *Target) float64 {
 	weight := gauger.Decay(now.Sub(t.othersAt), p.otherLoad.decay)
 	return float64(t.running) + t.others*weight + p.snapshot.othersPerSlot*float64(t.Slots)*(1-weight)
 }
 
-// utilisation is the part of all slots that is taken.
+// utilisation is the fraction of all slots that is in use.
 func (p *Placer) utilisation(now time.Time) float64 {
-	held, slots := 0.0, 0.0
+	outstanding, slots := 0.0, 0.0
 	for _, t := range p.targets {
-		held += min(float64(t.Slots), p.outstanding(now, t))
+		outstanding += min(float64(t.Slots), p.outstanding(now, t))
 		slots += float64(t.Slots)
 	}
-	return held / max(1, slots)
+	return outstanding / max(1, slots)
 }
 
 // anyUsable reports whether a request may go to any of the targets now.
@@ -144,23 +144,23 @@
 	return slices.ContainsFunc(list, func(target *Target) bool { return p.allowed(target, t) && target.usable(now) })
 }
 
-// cost estimates the time to the answer; false means that the target has no room for one more request. The probability
-// is that of the target having the object warm.
+// cost estimates the time to the answer. It returns false if the target has no room for one more request. The
+// probability is that of the target having the object warm.
 func (p *Placer) cost(now time.Time, target *Target, t *Ticket, probability float64) (time.Duration, bool) {
 	serviceTime := time.Duration(probability*float64(t.WarmTime) + (1-probability)*float64(t.ColdTime))
 	queue := warmQueue * probability
 	slots := float64(target.Slots)
-	held := p.outstanding(now, target)
+	outstanding := p.outstanding(now, target)
 	if t.Priority > p.mostUrgent {
 		queue = min(queue, lessUrgentQueue)
 	}
 	if !t.onTime(now) {
 		queue = lateQueue
 	}
-	if held+1 > slots+queue && target.running >= target.OwnSlots {
+	if outstanding+1 > slots+queue && target.running >= target.OwnSlots {
 		return 0, false
 	}
-	wait := max(0, held+1-slots) / max(1, slots) * float64(p.typicalServiceTime())
+	wait := max(0, outstanding+1-slots) / max(1, slots) * float64(p.typicalServiceTime())
 	cost := time.Duration((float64(serviceTime) + wait) * target.slowdown(now))
 	if target.Region != p.Region {
 		cost += p.InterRegionRTT
@@ -169,5 +169,5 @@
 		cost += crossZoneCost
 	}
 	// Of equal targets, prefer the emptier one: requests sent to it collide least with those of other entry instances.
-	return cost + time.Duration(held/max(1, slots)*float64(fullTargetCost)), true
+	return cost + time.Duration(outstanding/max(1, slots)*float64(fullTargetCost)), true
 }
--- a/core/placer/crowd.go
+++ b/core/placer/crowd.go
@@ -6,7 +6,8 @@
 	"chervilrail.example/core/gauger"
 )
 
-// reportDivisor sets the weight of the newest report in the average: one twentieth, the answers of one or two seconds.
+// reportDivisor sets the weight of the newest report in the average: one twentieth, so that it covers the answers of
+// one or two seconds.
 const reportDivisor = 20
 
 // otherLoad is the load by other entry instances' requests at an average target. It is made for a service with many
@@ -27,8 +28,8 @@
 	c.at = now
 }
 
-// expected is the number of others' requests per slot now. It decays without reports: a load that keeps all requests
-// away would otherwise never be seen to end.
+// expected returns the number of others' requests per slot now. It decays without reports: a load that keeps all
+// requests away would otherwise never be seen to end.
 func (c *otherLoad) expected(now time.Time) float64 {
 	return c.perSlot * gauger.Decay(now.Sub(c.at), c.decay)
 }
--- a/core/placer/hosts.go
+++ b/core/placer/hosts.go
@@ -27,7 +27,7 @@
 type hosts struct {
 	byRegion map[string][]*Target
 	cached   map[string][]*Target
-	// shares are the parts of the objects whose first host is in each region.
+	// shares are the fractions of the objects whose first host is in each region.
 	shares map[string]float64
 }
 
@@ -40,7 +40,7 @@
 	h.cached = map[string][]*Target{}
 }
 
-// setShares sets the parts of the objects that each region is to host first, if one of them moved by more than
+// setShares sets the fractions of the objects that each region is to host first, if one of them moved by more than
 // shareStep.
 func (h *hosts) setShares(shares map[string]float64) {
 	for region, share := range shares {
--- a/core/placer/overflow.go
+++ b/core/placer/overflow.go
@@ -9,22 +9,22 @@
 const (
 	// overflowWarmPeriod is how long a target that took an object's overflow is expected to keep the object warm.
 	overflowWarmPeriod = 10 * time.Second
-	// crossRegionFraction is the part of an instance's requests that may overflow into other regions, and
+	// crossRegionFraction is the fraction of an instance's requests that may overflow into other regions, and
 	// crossRegionWindow the time over which it is counted. All of it can start and end at once with a peak, and links
 	// between regions are planned for moves of 15% in two seconds.
 	crossRegionFraction = 0.1
 	crossRegionWindow   = 2 * time.Second
-	// minFreeForColdRun is the part of a target's slots that has to be free for an object's first overflow. That run is
-	// cold and takes as long as three others.
+	// minFreeForColdRun is the fraction of a target's slots that has to be free for an object's first overflow. That
+	// run is cold and takes as long as three others.
 	minFreeForColdRun = 0.25
 )
 
-// overflow takes requests whose host has no room for them. It is made for peaks at which some targets are full while
-// others have free slots, because each object has one host and their load is uneven: requests would wait at the full
-// targets until they are late or refused, beside idle slots. A run elsewhere is cold at first and warm from then on, so
-// an object gets a second target only while its host is short of room.
+// overflow sends requests whose host has no room to other targets. It is made for peaks at which some targets are full
+// while others have free slots, because each object has one host and their load is uneven: requests would wait at the
+// full targets until they are late or refused, beside idle slots. A run elsewhere is cold at first and warm from then
+// on, so an object gets a second target only while its host is short of room.
 type overflow struct {
-	// recent holds, by object, where its overflow last went.
+	// recent holds, by object, the target that last took its overflow.
 	recent map[string]overflowTarget
 	// total and crossRegion count the requests placed recently, and those of them that overflowed into other regions,
 	// as of at.
@@ -33,7 +33,8 @@
 	at          time.Time
 }
 
-// overflowTarget is a target that took an object's overflow, and until when it is expected to have the object warm.
+// overflowTarget is a target that took an object's overflow, and the time until which it is expected to have the object
+// warm.
 type overflowTarget struct {
 	target    string
 	warmUntil time.Time
@@ -55,8 +56,8 @@
 
 // count counts a placed request; crossRegion is set if it overflowed into another region.
 func (o *overflow) count(now time.Time, crossRegion bool) {
-	kept := gauger.Decay(now.Sub(o.at), crossRegionWindow)
-	o.total, o.crossRegion, o.at = o.total*kept+1, o.crossRegion*kept, now
+	weight := gauger.Decay(now.Sub(o.at), crossRegionWindow)
+	o.total, o.crossRegion, o.at = o.total*weight+1, o.crossRegion*weight, now
 	if crossRegion {
 		o.crossRegion++
 	}
@@ -64,12 +65,13 @@
 
 // allowsCrossRegion reports whether one more request may overflow into another region.
 func (o *overflow) allowsCrossRegion(now time.Time) bool {
-	kept := gauger.Decay(now.Sub(o.at), crossRegionWindow)
-	return o.crossRegion*kept+1 <= max(1, crossRegionFraction*(o.total*kept+1))
+	weight := gauger.Decay(now.Sub(o.at), crossRegionWindow)
+	return o.crossRegion*weight+1 <= max(1, crossRegionFraction*(o.total*weight+1))
 }
 
-// chooseOverflow returns a target for a request whose host is full: one that took the object's overflow recently and
-// has it warm, or, if the request would be late at its host, another of the object's hosts by hash.
+// chooseOverflow returns a target for a request whose host is full, or nil: one that took the object's overflow
+// recently and has it warm, or, if the request would be late at its host and a cold run can end by its deadline,
+// another of the object's hosts by hash.
 func (p *Placer) chooseOverflow(now time.Time, t *Ticket, host *Target) *Target {
 	if t.FirstRun || now.Before(t.WarmAt) {
 		return nil
--- a/core/placer/overflow_test.go
+++ b/core/placer/overflow_test.go
@@ -10,7 +10,7 @@
 	"chervilrail.example/core/messenger"
 )
 
-// fullLoad is how many requests a target of nine slots holds when it has no room for one more.
+// fullLoad is how many requests are at a target of nine slots that has no room for one more.
 const fullLoad = 11
 
 // peakPlacer is a placer of a region whose targets are full, with other regions where a part of the slots is taken.
@@ -30,7 +30,7 @@
 	return w
 }
 
-// reportLoads takes reports of all targets: how many requests run at those of the region, and at all others.
+// reportLoads has all targets report their loads: how many requests run at those of the region, and at all others.
 func (p *peakPlacer) reportLoads(home, other int32) {
 	for _, target := range p.targets {
 		running := other
@@ -94,7 +94,8 @@
 	p := newPeakPlacer()
 	decision, decided := p.Offer(p.now, &Ticket{
 		Key: "object", Host: "most-0", WarmTime: 250 * time.Millisecond, ColdTime: coldRun,
-		SoftDeadline: p.now.Add(100 * time.Millisecond), Deadline: p.now.Add(coldRun / 2), Decided: make(chan Decision, 1),
+		SoftDeadline: p.now.Add(100 * time.Millisecond), Deadline: p.now.Add(coldRun / 2),
+		Decided: make(chan Decision, 1),
 	})
 	is.True(!decided || decision.Target == nil)
 }
--- a/core/placer/placer.go
+++ b/core/placer/placer.go
@@ -2,12 +2,12 @@
 // for a slot and in which order, and which are refused at once. It is a state machine for use under one lock: Offer,
 // Done and Tick return what they decided.
 //
-// It is made for a load that asks for more slots than there are, from callers of several priorities, on targets that
-// work faster on objects they handled recently. Each object has a host, the target that is to keep it warm. Requests
-// for the object go to the host, wait for it, or overflow to a second target while the host is full. Where no host is
-// known or it can't be used, a request goes to the target where it is expected to finish first. Only a few requests may
-// queue at a target; the others wait here, where a more urgent one can overtake them. Free slots go first to requests
-// that can still be answered on time, the most urgent first.
+// It is made for a load that needs more slots than there are, from callers of several priorities, on targets that work
+// faster on objects they handled recently. Each object has a host, the target that is to keep it warm. Requests for the
+// object go to the host, wait for it, or overflow to a second target while the host is full. Where no host is known or
+// it can't be used, a request goes to the target where it is expected to finish first. Only a few requests may queue at
+// a target; the others wait here, where a more urgent one can overtake them. Free slots go first to requests that can
+// still be answered on time, the most urgent first.
 //
 // The files: choice finds the target of a request, queue orders the waiting requests, assigner assigns objects to their
 // hosts, room finds the targets with room for them, hosts selects hosts by hash for requests whose host is not known,
@@ -40,11 +40,11 @@
 type Ticket struct {
 	// Key names the requested object, or is empty.
 	Key string
-	// CallerPriority is the caller's own priority. It takes precedence over Priority, that of the route.
-	// In both, 0 is the most urgent.
+	// CallerPriority is the caller's own priority. It takes precedence over Priority, that of the route. In both, 0 is
+	// the most urgent.
 	CallerPriority int32
 	Priority       int32
-	// SoftDeadline is the time up to which an answer is on time, Deadline the time up to which it is of use at all.
+	// SoftDeadline is the time up to which an answer is on time, Deadline the time after which it is useless.
 	SoftDeadline time.Time
 	Deadline     time.Time
 	// WarmTime and ColdTime are the expected service times at a target that has the object warm, and at any other
@@ -61,7 +61,7 @@
 	WarmAt time.Time
 	// FirstRun is set if this is the object's first run at its host.
 	FirstRun bool
-	// Decided receives the decision on a ticket that has to wait; it needs a buffer of one.
+	// Decided receives the decision on a ticket that has to wait; its buffer must have room for one.
 	Decided chan Decision
 
 	arrived       time.Time
@@ -98,7 +98,7 @@
 	// InterRegionRTT is the round-trip time to another region.
 	InterRegionRTT time.Duration
 
-	// firstTargetAt is when the first targets became known, announced the names of those that were known within
+	// firstTargetAt is when this instance first had targets; announced holds the names of those that it had within
 	// announcePeriod from then on.
 	firstTargetAt   time.Time
 	announced       map[string]bool
@@ -139,8 +139,8 @@
 const (
 	// snapshotValidity is how long slotsScarce holds: computing it takes a pass over all targets.
 	snapshotValidity = 10 * time.Millisecond
-	// snapshotChangeDivisor bounds the changes for which slotsScarce holds: it is recomputed once as many requests as a
-	// fiftieth of the slots were placed or ended.
+	// snapshotChangeDivisor bounds the changes for which slotsScarce holds: it is recomputed once the number of
+	// requests placed or ended reaches a fiftieth of the slots.
 	snapshotChangeDivisor = 50
 )
 
@@ -214,7 +214,7 @@
 	return out
 }
 
-// ObserveLoads takes the loads of targets as measured by all instances of the region. Readings of unknown targets are
+// ObserveLoads stores the loads of targets as measured by all instances of the region. Readings of unknown targets are
 // ignored.
 func (p *Placer) ObserveLoads(now time.Time, loads []gauger.Reading) {
 	for _, r := range loads {
@@ -236,7 +236,7 @@
 		return Decision{Retry: now.Add(noTargetRetry), Reason: "targets"}, true
 	}
 	p.refreshSnapshot(now)
-	if p.ahead(now, t) == 0 {
+	if p.ticketsAhead(now, t) == 0 {
 		if target := p.place(now, t); target != nil {
 			return Decision{Target: target}, true
 		}
--- a/core/placer/placer_test.go
+++ b/core/placer/placer_test.go
@@ -117,8 +117,8 @@
 	is.True(!start.Before(p.regionSplit.unlimitedUntil))
 }
 
-// Guards against requests that wait in vain and are refused though another target could run them: free slots are few,
-// and the host of the request's object has just rejected the request.
+// Guards against requests that wait in vain for the host of their object and are refused, though another target could
+// run them: free slots are few, and the host has just rejected the request.
 func TestRequestRejectedByItsHostGoesElsewhere(t *testing.T) {
 	is := is.New(t)
 	p := newPlacer(spec("a"), spec("b"), spec("c"))
--- a/core/placer/queue.go
+++ b/core/placer/queue.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	// lateWaitDivisor: a request that can't be on time is queued for at most a quarter of the time it has left, because
+	// lateWaitDivisor bounds the wait of a request that can't be on time to a quarter of the time it has left, because
 	// its caller can still be served elsewhere or later.
 	lateWaitDivisor = 4
 	// defaultServiceTime is assumed before any service time was measured.
@@ -39,13 +39,14 @@
 	return late
 }
 
-// retryAt is when a refused caller should retry after an expected wait.
+// retryAt is when a refused caller should retry, given the expected wait.
 func (p *Placer) retryAt(now time.Time, wait time.Duration) time.Time {
 	return now.Add(max(minRetry, wait))
 }
 
-// ahead counts the waiting tickets for the same slots that would be placed before this one.
-func (p *Placer) ahead(now time.Time, t *Ticket) int {
+// ticketsAhead counts the waiting tickets with the same host that are to be placed before this one. Those that wait for
+// the first run of their object are left out.
+func (p *Placer) ticketsAhead(now time.Time, t *Ticket) int {
 	n := 0
 	for _, o := range p.queue {
 		if o.Host == t.Host && !now.Before(o.WarmAt) && !less(now, t, o) {
@@ -72,31 +73,32 @@
 func (t *Ticket) onTime(now time.Time) bool { return !now.Add(t.WarmTime).After(t.SoftDeadline) }
 
 // expectedWait estimates how long a ticket would wait for a slot. Where its host is known, that follows from the
-// requests ahead of it and at the host. Otherwise it is as long as those ahead of it take at the recent rate of
-// placements from the queue. That rate decays towards the one of this instance's part of the slots: if it were kept,
-// one slow period would have requests refused, none would wait, and nothing would show that the period is over.
+// tickets ahead of it, the requests queued at the host and the end of the object's first run. Otherwise it is the time
+// for the tickets ahead of it at the recent rate of placements from the queue. That rate decays towards the one of this
+// instance's part of the slots: if it were kept, one slow period would have requests refused, none would wait, and
+// nothing would show that the period is over.
 func (p *Placer) expectedWait(now time.Time, t *Ticket) time.Duration {
 	if host := p.host(now, t); host != nil {
 		slots := float64(max(1, host.Slots))
-		queue := time.Duration(float64(p.typicalServiceTime()) * float64(p.ahead(now, t)+1) / slots)
+		queue := time.Duration(float64(p.typicalServiceTime()) * float64(p.ticketsAhead(now, t)+1) / slots)
 		queue += time.Duration(float64(t.WarmTime) * max(0, p.queuedAt(now, host)) / slots)
 		return max(queue, t.WarmAt.Sub(now))
 	}
 	weight := gauger.Decay(now.Sub(p.placementGapAt), placementGapDecay)
 	averageGap := float64(p.typicalServiceTime()) / max(1, p.slotsPerInstance)
 	gap := weight*float64(p.placementGap) + (1-weight)*averageGap
-	return time.Duration(gap * float64(p.ahead(now, t)+1))
+	return time.Duration(gap * float64(p.ticketsAhead(now, t)+1))
 }
 
-// queuedAt estimates how many requests a target holds beyond its slots: by this instance's estimate, or by the shared
-// load if that is more. Without the latter a request for an overloaded target would wait here for room that others
-// always take first.
+// queuedAt estimates how many requests are at a target beyond its slots, negative if slots are free: by this instance's
+// estimate, or by the shared load if that is more. Without the latter a request for an overloaded target would wait
+// here for room that others always use first.
 func (p *Placer) queuedAt(now time.Time, host *Target) float64 {
-	held := p.outstanding(now, host)
+	outstanding := p.outstanding(now, host)
 	if load, ok := host.recentLoad(now); ok {
-		held = max(held, load*float64(host.Slots))
+		outstanding = max(outstanding, load*float64(host.Slots))
 	}
-	return held - float64(host.Slots)
+	return outstanding - float64(host.Slots)
 }
 
 // recordPlacement updates the average gap between placements.
--- a/core/placer/replay_test.go
+++ b/core/placer/replay_test.go
@@ -31,7 +31,7 @@
 	tallies map[string]*tally
 	start   time.Time
 	span    time.Duration
-	// regionLoads are the measured loads of the targets by region, published the gauges' counters at the last
+	// regionLoads are the measured loads of the targets by region, published the counters of these tables at the last
 	// publication.
 	regionLoads map[string]*gauger.LoadTable
 	published   map[string]uint64
@@ -55,8 +55,8 @@
 
 const shiftWindow = 2 * time.Second
 
-// worstShift is the largest part of one region's requests that changed the region they ran in, from one window to the
-// next.
+// worstShift is the largest fraction of one region's requests that changed the region they ran in, from one window to
+// the next.
 func (r *simulation) worstShift() float64 {
 	worst := 0.0
 	for window, flows := range r.flows {
@@ -70,8 +70,8 @@
 	return worst
 }
 
-// shiftBetween is the part of the requests that changed the region they ran in between two windows, zero if either has
-// fewer than 50.
+// shiftBetween is the fraction of the requests that changed the region they ran in between two windows, zero if either
+// has fewer than 50.
 func shiftBetween(next, now map[string]int) float64 {
 	a, b := 0, 0
 	for _, n := range now {
@@ -90,6 +90,7 @@
 	return out
 }
 
+// kind is a kind of request: its rate in requests per second, the work of a cold run, and the objects requested.
 type kind struct {
 	name         string
 	rate         float64
@@ -129,13 +130,13 @@
 	targets map[string]int
 	entries int
 	kinds   []kind
-	// cacheSize is how many objects a target keeps warm, warmFraction the part of the work that is left for those.
+	// cacheSize is how many objects a target keeps warm, warmFraction the fraction of the work that is left for those.
 	cacheSize    int
 	warmFraction float64
-	// separateObjects: the callers of each region have objects of their own.
+	// separateObjects is set if the callers of each region have objects of their own.
 	separateObjects bool
-	// assignHosts: one entry instance of a region owns each object; isolated: the others receive nothing from it but
-	// answers.
+	// assignHosts is set if one entry instance of a region owns each object, isolated if the other instances receive
+	// nothing from it but answers.
 	assignHosts bool
 	isolated    bool
 }
@@ -164,7 +165,8 @@
 func newSimulation(seed uint64, naive bool, w world) *simulation {
 	r := &simulation{
 		random: rand.New(rand.NewPCG(seed, 1)), now: time.Unix(1000, 0), targets: map[string]*simulatedTarget{},
-		kinds: w.kinds, naive: naive, tallies: map[string]*tally{}, flows: map[int]map[string]map[string]int{}, world: w,
+		kinds: w.kinds, naive: naive, tallies: map[string]*tally{}, flows: map[int]map[string]map[string]int{},
+		world:       w,
 		regionLoads: map[string]*gauger.LoadTable{}, published: map[string]uint64{},
 	}
 	r.start = r.now
@@ -258,7 +260,8 @@
 	t := &Ticket{
 		Key: key, Priority: k.priority,
 		SoftDeadline: arrived.Add(k.softDeadline - 2*callerLatency), Deadline: arrived.Add(k.deadline),
-		WarmTime: time.Duration(r.world.warmFraction * float64(k.work)), ColdTime: k.work, Decided: make(chan Decision, 1),
+		WarmTime: time.Duration(r.world.warmFraction * float64(k.work)), ColdTime: k.work,
+		Decided: make(chan Decision, 1),
 	}
 	if r.world.assignHosts {
 		r.locate(e, k, t)
@@ -367,10 +370,10 @@
 	}
 }
 
-// loadPercentile returns the load that a part of the samples stays below.
-func (r *simulation) loadPercentile(part float64) float64 {
+// loadPercentile returns the load that a fraction of the samples stays below.
+func (r *simulation) loadPercentile(fraction float64) float64 {
 	slices.Sort(r.loadSamples)
-	return r.loadSamples[int(part*float64(len(r.loadSamples)-1))]
+	return r.loadSamples[int(fraction*float64(len(r.loadSamples)-1))]
 }
 
 // awaitDecision polls for the decision on a waiting ticket, as the tick of an entry instance does.
@@ -422,8 +425,10 @@
 	finish := func(load messenger.Load, ran bool) {
 		r.after(latency, func() {
 			outcome := Outcome{Load: &load, Failed: !ran}
-			held := float64(max(0, load.Running+load.Waiting-1)) / float64(load.Slots)
-			r.regionLoads[e.region].Record(r.now, []gauger.Reading{{Target: gauger.Key(target.Name), PerSlot: held}}, true)
+			perSlot := float64(max(0, load.Running+load.Waiting-1)) / float64(load.Slots)
+			r.regionLoads[e.region].Record(r.now, []gauger.Reading{
+				{Target: gauger.Key(target.Name), PerSlot: perSlot},
+			}, true)
 			if ran {
 				// The time that an entry instance measures includes the wait at the target.
 				outcome.ResponseTime = r.now.Sub(sent) - 2*latency
--- a/core/placer/room.go
+++ b/core/placer/room.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	// objectOffset is half an object added to each count, so that the shares of the regions come out even where there
+	// objectOffset, half an object, is added to each count, so that the shares of the regions come out even where there
 	// are few objects.
 	objectOffset = 0.5
-	// loadStep is the precision to which targets' loads are compared, in requests per slot. With a higher one, all
-	// instances would assign their objects to the same least loaded target at once.
+	// loadStep is the step to which targets' loads are rounded down for comparison, in requests per slot. With a
+	// smaller one, all instances would assign their objects to the same least loaded target at once.
 	loadStep = 0.25
 	// slowdownStep is the same for the slowdown of a target.
 	slowdownStep = 0.5
@@ -34,7 +34,8 @@
 }
 
 // ownedObjectsIn counts the objects of a route in a region that this instance owns. Each instance balances its own
-// objects: by the counts of all objects, hundreds that need a target at once would all go to the region that is behind.
+// objects: by the counts of all objects, hundreds that need a target at once would all go to the one region that has
+// the fewest for its share.
 func (p *Placer) ownedObjectsIn(region, route string) int {
 	n := 0
 	for _, assigned := range p.assigner.owned {
@@ -46,7 +47,8 @@
 }
 
 // leastLoadedTarget returns the target for an object, of those of a region that this instance considers: the one with
-// the least load, and of several such the one with the fewest objects of its route per slot.
+// the least load, multiplied by its slowdown, and of several such the one with the fewest objects of its route per
+// slot.
 func (p *Placer) leastLoadedTarget(region string, now time.Time, object uint64, request AssignRequest) *Target {
 	var best *Target
 	leastLoad, leastObjects := math.Inf(1), math.Inf(1)
@@ -70,20 +72,20 @@
 // least loaded ones within the half second that updates take to arrive, as when an availability zone is lost and
 // hundreds of objects need a target; this way few instances consider the same targets.
 func (p *Placer) candidates(region string, object uint64) []*Target {
-	near := p.hosts.byRegion[region]
+	targets := p.hosts.byRegion[region]
 	a := &p.assigner
-	n := max(minCandidates, instancesPerTarget*len(near)/max(1, a.ownerCount))
-	own := int(a.offset * float64(len(near)))
-	if n >= len(near) {
-		return slices.Concat(near[own:], near[:own])
+	n := max(minCandidates, instancesPerTarget*len(targets)/max(1, a.ownerCount))
+	ownStart := int(a.offset * float64(len(targets)))
+	if n >= len(targets) {
+		return slices.Concat(targets[ownStart:], targets[:ownStart])
 	}
 	out := make([]*Target, 0, 2*n)
-	start := int(object % uint64(len(near)))
+	objectStart := int(object % uint64(len(targets)))
 	for i := range n {
-		out = append(out, near[(own+i)%len(near)])
+		out = append(out, targets[(ownStart+i)%len(targets)])
 	}
 	for i := range n {
-		out = append(out, near[(start+i)%len(near)])
+		out = append(out, targets[(objectStart+i)%len(targets)])
 	}
 	return out
 }
--- a/core/placer/scenarios_test.go
+++ b/core/placer/scenarios_test.go
@@ -22,8 +22,8 @@
 	}
 }
 
-// manyInstancesWorld is the same service after ten more clubs have joined: many small entry instances, each of which
-// sees little of what a target does, and objects that only the callers of one region ask for.
+// manyInstancesWorld is the same service after ten more organisations have joined: many small entry instances, each of
+// which sees little of what a target does, and objects that only the callers of one region ask for.
 func manyInstancesWorld() world {
 	return world{
 		targets: map[string]int{"one": 102, "two": 20, "three": 84}, entries: 27, cacheSize: 22, warmFraction: 0.25,
@@ -110,7 +110,9 @@
 	return world{
 		targets: map[string]int{"one": 18, "two": 6, "three": 18}, entries: 4, cacheSize: 13, warmFraction: 0.3,
 		separateObjects: true,
-		kinds:           []kind{{"view", 223, 880 * time.Millisecond, 600 * time.Millisecond, 4 * time.Second, 2, 44, 1}},
+		kinds: []kind{
+			{"view", 223, 880 * time.Millisecond, 600 * time.Millisecond, 4 * time.Second, 2, 44, 1},
+		},
 	}
 }
 
@@ -158,8 +160,9 @@
 
 // Guards against targets that count as empty between reports. Many small entry instances share the targets, and each
 // receives a report of a target only every few seconds, with an answer. All targets would get more than their slots,
-// and requests would wait in queues where none can be overtaken. With that, and with a host for each object in every
-// region, 0.80 of browse and 0.81 of pay are on time here, and 0.72 and 0.74 with a third more callers.
+// and requests would wait in queues where none can be overtaken. With targets counted as empty, and with a host for
+// each object in every region, 0.80 of browse and 0.81 of pay are on time here, and 0.72 and 0.74 with a third more
+// callers.
 func TestManyInstancesWithRareReports(t *testing.T) {
 	cases := map[string]struct {
 		load        float64
@@ -187,8 +190,9 @@
 	}
 }
 
-// largeWorld is a service with sixty entry instances in each region, of which each sees one request of an object in
-// sixty, and targets of three slots. Some objects are asked for more than others. Warm, they need a third of the slots.
+// largeWorld is a service with sixty entry instances in each region, each of which sees one in sixty of the requests
+// for an object, and targets of three slots. Some objects are requested more often than others. If all objects are
+// warm, the requests need a third of the slots.
 func largeWorld() world {
 	return world{
 		targets: map[string]int{"one": 80, "two": 80, "three": 80}, entries: 60, cacheSize: 22, warmFraction: 0.3,
@@ -200,7 +204,7 @@
 	}
 }
 
-// withdrawTargets removes a part of every region's targets for a while.
+// withdrawTargets removes a fraction of every region's targets for a while.
 func (r *simulation) withdrawTargets(fraction float64, from, until time.Duration) {
 	all := slices.Clone(r.specs)
 	kept := slices.DeleteFunc(slices.Clone(all), func(s Spec) bool {
@@ -230,8 +234,8 @@
 			is := is.New(t)
 			informed, isolated := simulate(seed, false), simulate(seed, true)
 			t.Logf("load per slot p90 %.2f p99 %.2f, isolated p90 %.2f p99 %.2f, worst shift %.3f",
-				informed.loadPercentile(0.9), informed.loadPercentile(0.99), isolated.loadPercentile(0.9), isolated.loadPercentile(0.99),
-				informed.worstShift())
+				informed.loadPercentile(0.9), informed.loadPercentile(0.99), isolated.loadPercentile(0.9),
+				isolated.loadPercentile(0.99), informed.worstShift())
 			is.True(informed.worstShift() < 0.15)
 			for _, k := range w.kinds {
 				a, b := informed.tallies[k.name], isolated.tallies[k.name]
--- a/core/placer/spread.go
+++ b/core/placer/spread.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	// awayRate is the part of its requests that an entry instance moves from its home region to another one in a second
-	// while nothing is broken. Two seconds of it stay under the 15% that links between regions are planned for, with
-	// room for random variation.
+	// awayRate is the fraction of its requests that an entry instance moves from its home region to another one in a
+	// second while nothing is broken. Two seconds of it stay under the 15% that links between regions are planned for,
+	// with room for random variation.
 	awayRate = 0.055
-	// returnRate is the same for requests that return to the home region. They wait no less there, so nothing is lost
-	// by returning slowly, and the next peak of the home region meets shares that can take it.
+	// returnRate is the same for requests that return to the home region. They would not wait less at home, so nothing
+	// is lost by returning slowly, and the next peak of the home region meets shares that can take it.
 	returnRate = 0.03
-	// toleranceFraction is how far a region may be ahead of its share, as a part of the requests of two seconds;
+	// toleranceFraction is how far a region may exceed its share, as a fraction of the requests of two seconds;
 	// minTolerance is the least, in requests. With more, random variation would add up to moves that links are not
 	// planned for; with less, requests would be refused that could be served on time.
 	toleranceFraction = 0.02
@@ -40,7 +40,7 @@
 	// loadDivisor sets the weight of the newest report in a region's load: one twentieth.
 	loadDivisor = 20
 	// loadValidity is how long a region's load holds without a report, and loadDecay the time in which it then loses
-	// almost two thirds of its weight. Otherwise a region that all requests have left would keep its high load, and
+	// almost two thirds of its weight. Without decay a region that all requests have left would keep its high load, and
 	// they would never return. With decay from the start, regions would look emptier the fewer reports an instance
 	// receives from them.
 	loadValidity = 2 * time.Second
@@ -56,8 +56,8 @@
 type regionSplit struct {
 	home    string
 	regions []string
-	// shares are the current shares of the regions, deficits how many requests each region is behind its share, loads
-	// the requests per slot that its targets reported.
+	// shares are the current shares of the regions, deficits how many requests each region is short of its share
+	// (negative if it exceeds it), loads the requests per slot that its targets reported.
 	shares   map[string]float64
 	deficits map[string]float64
 	loads    map[string]regionLoad
@@ -70,8 +70,8 @@
 }
 
 // update applies a changed set of targets; slots holds the number of slots of each region. Until the first request the
-// shares follow the slots: targets announce themselves one by one, and shares taken from the first few would send a
-// region's first requests to where there is no room, and would leave there only in slow steps.
+// shares follow the slots: targets announce themselves one by one, and with shares computed from the first few, a
+// region's first requests would go to where there is no room, and move away from there only in slow steps.
 func (s *regionSplit) update(home string, slots map[string]float64) {
 	s.home = home
 	var regions []string
@@ -139,7 +139,7 @@
 	return s.unlimited(now) || s.deficits[region] > 1-s.tolerance()
 }
 
-// tolerance is how many requests a region may be ahead of its share.
+// tolerance is how many requests a region may exceed its share by.
 func (s *regionSplit) tolerance() float64 {
 	return max(minTolerance, toleranceFraction*2*s.rate*math.Sqrt(max(1, s.entries/referenceEntries)))
 }
@@ -174,9 +174,9 @@
 	}
 	s.lastArrival = now
 	s.updateRate(elapsed)
-	kept := gauger.Decay(elapsed, deficitDecay)
+	weight := gauger.Decay(elapsed, deficitDecay)
 	for _, r := range s.regions {
-		s.deficits[r] *= kept
+		s.deficits[r] *= weight
 	}
 	s.adjustShares(now, elapsed.Seconds())
 }
@@ -230,7 +230,7 @@
 	return leastLoaded, mostLoaded
 }
 
-// shift moves an amount of the shares between two regions, at most what the first one has.
+// shift moves an amount of the shares from one region to another, at most what the first one has.
 func (s *regionSplit) shift(from, to string, amount float64) {
 	if from == "" {
 		return
--- a/core/placer/spread_test.go
+++ b/core/placer/spread_test.go
@@ -11,7 +11,7 @@
 	"chervilrail.example/core/messenger"
 )
 
-// unevenSpecs are the targets of three regions, of which the first has too few for its callers.
+// unevenSpecs are the targets of three regions; the region "few" has too few for its callers.
 func unevenSpecs() []Spec {
 	var out []Spec
 	for region, count := range map[string]int{"few": 4, "some": 12, "many": 16} {
@@ -50,9 +50,9 @@
 	})
 }
 
-// Guards against requests that stay away from a home region that was so full that all of them moved away. No reports of
-// its targets arrive from then on, and the last ones must not keep the requests away once it has long been empty: each
-// request would go on paying for the way to another region.
+// Guards against requests that never return to a home region that was so full that all of them moved away. No reports
+// of its targets arrive from then on, and the last ones must not keep the requests away once the region has long been
+// empty: each request would go on paying for the way to another region.
 func TestRequestsReturnToHomeRegion(t *testing.T) {
 	is := is.New(t)
 	p := &Placer{Region: "few", Zone: "few"}
--- a/core/placer/target.go
+++ b/core/placer/target.go
@@ -11,8 +11,8 @@
 	// reportDecayFactor is the number of service times in which a target's report of other instances' requests loses
 	// almost two thirds of its weight; most of those requests have ended by then.
 	reportDecayFactor = 1.5
-	// minEjection and maxEjection bound how long a target that can't be reached gets no requests; each failure in a row
-	// doubles the time.
+	// minEjection and maxEjection bound how long a target that can't be reached gets no requests; each consecutive
+	// failure doubles the time.
 	minEjection = 250 * time.Millisecond
 	maxEjection = 4 * time.Second
 	// maxDoublings keeps the doubling from overflowing.
@@ -53,7 +53,7 @@
 	Spec
 
 	running int32
-	// others is how many requests of other instances it held at othersAt.
+	// others is how many requests of other instances were there at othersAt.
 	others   float64
 	othersAt time.Time
 	// sharedLoad is its load in requests per slot, as measured by all instances of the region, received at
@@ -64,7 +64,7 @@
 	// as of pendingAt.
 	pendingSlots float64
 	pendingAt    time.Time
-	// timeRatio is its service time over the expected one, failureRate the part of its requests that failed, both
+	// timeRatio is its service time over the expected one, failureRate the fraction of its requests that failed, both
 	// smoothed and as of estimatesAt.
 	timeRatio   float64
 	failureRate float64
@@ -81,7 +81,8 @@
 const (
 	// sharedLoadTTL is how long a shared load holds without an update.
 	sharedLoadTTL = 5 * time.Second
-	// pendingDecay is the time in which objects assigned to a target show in its shared load.
+	// pendingDecay is the time in which objects assigned to a target show in its shared load; the pending slots lose
+	// almost two thirds of their weight in it.
 	pendingDecay = 2 * time.Second
 )
 
@@ -137,6 +138,7 @@
 	return t.OwnSlots > 0 && float64(len(t.recentSends(now)))+1 <= t.Rate
 }
 
+// recentSends returns the times of the requests sent within coldWindow, and drops the older ones.
 func (t *Target) recentSends(now time.Time) []time.Time {
 	for len(t.coldSends) > 0 && now.Sub(t.coldSends[0]) >= coldWindow {
 		t.coldSends = t.coldSends[1:]
@@ -158,6 +160,7 @@
 // request that must not be repeated gets no other attempt.
 const failureCost = 5
 
+// start counts a request that is sent to the target.
 func (t *Target) start(now time.Time) {
 	t.running++
 	if now.Before(t.ColdUntil) {
@@ -165,6 +168,7 @@
 	}
 }
 
+// end records the outcome of a request at the target.
 func (t *Target) end(now time.Time, o Outcome) {
 	if o.Load != nil {
 		t.others = float64(max(0, o.Load.Running+o.Load.Waiting-t.running))
