--- a/core/placer/overflow_test.go
+++ b/core/placer/overflow_test.go
@@ -13,7 +13,7 @@
 // fullLoad is how many requests are at a target of nine slots that has no room for one more.
 const fullLoad = 11
 
-// peakPlacer is a placer of a region whose targets are full, with other regions where a part of the slots is taken.
+// peakPlacer is a placer of a region whose targets are full, with other regions where only some slots are in use.
 type peakPlacer struct {
 	*Placer
 	now time.Time
@@ -25,9 +25,9 @@
 		specs[i].OwnSlots = 0 // all slots belong to other instances
 	}
 	p := newOwner("most", specs, 0, 1)
-	w := &peakPlacer{p, start.Add(time.Minute)} // long after the targets became known
-	w.reportLoads(fullLoad, 2)
-	return w
+	peak := &peakPlacer{p, start.Add(time.Minute)} // long after the targets became known
+	peak.reportLoads(fullLoad, 2)
+	return peak
 }
 
 // reportLoads has all targets report their loads: how many requests run at those of the region, and at all others.
--- a/core/placer/replay_test.go
+++ b/core/placer/replay_test.go
@@ -103,8 +103,10 @@
 	skew float64
 }
 
+// tally counts the requests of a kind by their result.
 type tally struct{ offered, onTime, late, refused int }
 
+// simulatedTarget is a target with a queue and a cache of the objects that it used most recently.
 type simulatedTarget struct {
 	spec    Spec
 	running int32
@@ -166,8 +168,7 @@
 	r := &simulation{
 		random: rand.New(rand.NewPCG(seed, 1)), now: time.Unix(1000, 0), targets: map[string]*simulatedTarget{},
 		kinds: w.kinds, naive: naive, tallies: map[string]*tally{}, flows: map[int]map[string]map[string]int{},
-		world:       w,
-		regionLoads: map[string]*gauger.LoadTable{}, published: map[string]uint64{},
+		world: w, regionLoads: map[string]*gauger.LoadTable{}, published: map[string]uint64{},
 	}
 	r.start = r.now
 	for _, region := range slices.Sorted(maps.Keys(w.targets)) {
@@ -203,16 +204,18 @@
 	}
 	for _, e := range r.entries {
 		specs := slices.Clone(r.specs)
-		for i, own := range partitioner.Partition(e.name, partitioner.NewMembers(instances), targets) {
-			specs[i].OwnSlots = own
+		for i, ownSlots := range partitioner.Partition(e.name, partitioner.NewMembers(instances), targets) {
+			specs[i].OwnSlots = ownSlots
 		}
 		e.placer.Update(at, specs, len(r.entries))
-		near := r.instancesIn(e.region)
-		owns := func(object uint64) bool { return ownerOf(object, near) == e }
-		e.placer.SetOwnership(owns, slices.Index(near, e), r.world.entries)
+		peers := r.instancesIn(e.region)
+		owns := func(object uint64) bool { return ownerOf(object, peers) == e }
+		e.placer.SetOwnership(owns, slices.Index(peers, e), r.world.entries)
 	}
 }
 
+// run simulates requests that arrive for a time span, until all are answered. The load of each region swings around its
+// mean by a fraction, swing, with one third of a period between regions.
 func (r *simulation) run(span time.Duration, swing float64) {
 	start := r.now
 	r.span = span
@@ -232,6 +235,7 @@
 	}
 }
 
+// scheduleArrival schedules the next request of a kind at an instance; phase, in periods, shifts the swing of its load.
 func (r *simulation) scheduleArrival(e *instance, k kind, start time.Time, span time.Duration, swing, phase float64) {
 	elapsed := r.now.Sub(start)
 	if elapsed > span {
@@ -454,6 +458,7 @@
 	}
 }
 
+// receive runs a request, queues it while all slots are in use, or rejects it if the queue is full.
 func (w *simulatedTarget) receive(r *simulation, k kind, key string, finish func(messenger.Load, bool)) {
 	if w.running >= w.spec.Slots {
 		if len(w.waiting) >= targetQueue {
@@ -504,4 +509,5 @@
 	return false
 }
 
+// fraction returns a count of requests relative to all that were offered.
 func (t *tally) fraction(n int) float64 { return float64(n) / float64(max(1, t.offered)) }
