--- a/core/gauger/gauge.go
+++ b/core/gauger/gauge.go
@@ -6,14 +6,14 @@
 )
 
 const (
-	// decayTime is the time in which an observation loses about two thirds of its weight: long enough for a mean of many
-	// short requests, short enough to follow a peak.
+	// decayTime is the time in which an observation loses about two thirds of its weight: long enough for a mean of
+	// many short requests, short enough to follow a peak.
 	decayTime = time.Second
 	// minLevelChange is the number of levels by which a load has to change to be published before republishInterval is
-	// over. Smaller changes are insignificant and cost traffic to each of hundreds of instances.
+	// over. Smaller changes are insignificant, and each costs traffic to hundreds of instances.
 	minLevelChange = 2
-	// republishInterval is how often an unchanged load is published again. A load that has not been published for long is
-	// taken for unknown.
+	// republishInterval is the time after which the next reading publishes an unchanged load again. A load that has not
+	// been published for long is taken for unknown.
 	republishInterval = 2 * time.Second
 	// maxTargets limits the targets in the table. A target without readings for targetExpiry is removed.
 	maxTargets   = 1 << 16
@@ -59,36 +59,38 @@
 	m.weight, m.at = oldWeight+1, now
 }
 
-// Record adds readings. Local readings come from entry instances, others from another controller.
-func (g *LoadTable) Record(now time.Time, list []Reading, local bool) {
+// Record adds readings. Local readings come from entry instances, all others from another controller. Targets beyond
+// maxTargets are ignored.
+func (g *LoadTable) Record(now time.Time, readings []Reading, local bool) {
 	if g.targets == nil {
 		g.targets = map[uint32]*targetLoad{}
 	}
 	g.sweep(now)
-	for _, r := range list {
-		n, ok := g.targets[r.Target]
+	for _, r := range readings {
+		load, ok := g.targets[r.Target]
 		if !ok {
 			if len(g.targets) >= maxTargets {
 				continue
 			}
-			n = &targetLoad{}
-			g.targets[r.Target] = n
+			load = &targetLoad{}
+			g.targets[r.Target] = load
 		}
-		n.all.add(now, r.PerSlot)
+		load.all.add(now, r.PerSlot)
 		if local {
-			n.local.add(now, r.PerSlot)
+			load.local.add(now, r.PerSlot)
 		}
-		if next := level(n.all.perSlot); levelDistance(next, n.level) >= minLevelChange || now.Sub(n.publishedAt) >= republishInterval {
-			g.publish(now, r.Target, n, next)
+		if next := level(load.all.perSlot); levelDistance(next, load.level) >= minLevelChange ||
+			now.Sub(load.publishedAt) >= republishInterval {
+			g.publish(now, r.Target, load, next)
 		}
 	}
 }
 
 func levelDistance(a, b byte) int { return int(max(a, b)) - int(min(a, b)) }
 
-func (g *LoadTable) publish(now time.Time, target uint32, n *targetLoad, level byte) {
+func (g *LoadTable) publish(now time.Time, target uint32, load *targetLoad, level byte) {
 	g.counter++
-	n.level, n.changed, n.publishedAt = level, g.counter, now
+	load.level, load.changed, load.publishedAt = level, g.counter, now
 	if len(g.changes) > 2*len(g.targets)+1 {
 		g.changes = slices.DeleteFunc(g.changes, func(c change) bool { return !g.current(c) })
 	}
@@ -97,8 +99,8 @@
 
 // current reports whether a change is the latest one of its target.
 func (g *LoadTable) current(c change) bool {
-	n, ok := g.targets[c.target]
-	return ok && n.changed == c.counter
+	load, ok := g.targets[c.target]
+	return ok && load.changed == c.counter
 }
 
 // sweep removes targets without readings for targetExpiry; it runs at most once in that time.
@@ -117,7 +119,7 @@
 // Counter returns the number of changes so far.
 func (g *LoadTable) Counter() uint64 { return g.counter }
 
-// Since returns the loads that changed after the counter had a value.
+// Since returns the loads that were published after Counter had returned the given value.
 func (g *LoadTable) Since(counter uint64) []Reading {
 	at, _ := slices.BinarySearchFunc(g.changes, counter+1, func(c change, wanted uint64) int {
 		return int(int64(c.counter) - int64(wanted))
@@ -131,7 +133,8 @@
 	return out
 }
 
-// Local returns the loads for which entry instances sent readings here after a time, for the region's other controllers.
+// Local returns the loads for which entry instances sent readings here after a time, for the region's other
+// controllers.
 func (g *LoadTable) Local(after time.Time) []Reading {
 	var out []Reading
 	for target, n := range g.targets {
--- a/core/gauger/gauger.go
+++ b/core/gauger/gauger.go
@@ -1,10 +1,10 @@
 // Package gauger shares the load of each target between many entry instances.
 //
 // It is for services with many entry instances and many targets: each instance sends one request in hundreds, so it
-// receives a load report of a target once in many seconds and assumes an average load in between. Some targets would then
-// hold several times their slots while others idle. Therefore each report that a target sends with an answer is passed
-// on: an instance collects the reports, its controller smooths them over all instances of the region, and the instances
-// receive what changed.
+// receives a load report of a target once in many seconds and assumes an average load in between. Some targets would
+// then have several times as many requests as slots while others idle. Therefore each report that a target sends with
+// an answer is passed on: an instance collects the reports, its controller smooths them over all instances of the
+// region, and the instances receive what changed.
 package gauger
 
 import (
@@ -31,17 +31,18 @@
 	PerSlot float64
 }
 
-// Key identifies a target in readings: a hash of its name. Two targets with the same key are taken for equally loaded; the
-// only effect is a less suitable target for a request.
+// Key identifies a target in readings: a hash of its name. Two targets with the same key are taken for equally loaded;
+// the only effect is a less suitable target for a request.
 func Key(target string) uint32 { return uint32(xxhash.Sum64String(target)) }
 
-// Encode returns a message with the readings; nil if there are none.
-func Encode(list []Reading) *wire.Loads {
-	if len(list) == 0 {
+// Encode returns a message with the readings; nil if there are none. Loads are rounded to 1/levelsPerUnit and limited
+// to maxLevel.
+func Encode(readings []Reading) *wire.Loads {
+	if len(readings) == 0 {
 		return nil
 	}
 	out := &wire.Loads{}
-	for _, r := range list {
+	for _, r := range readings {
 		out.Targets = append(out.Targets, r.Target)
 		out.Levels = append(out.Levels, level(r.PerSlot))
 	}
@@ -73,7 +74,7 @@
 	count float64
 }
 
-// Add adds a report; it is dropped if its target is new and the collector is full.
+// Add records a report; the report is dropped if its target is new and the collector is full.
 func (c *Collector) Add(r Reading) {
 	if c.sums == nil {
 		c.sums = map[uint32]sum{}
@@ -95,8 +96,8 @@
 	return out
 }
 
-// Decay returns the remaining weight of an observation, from 1 at age 0 downwards. It approximates exp(-age/span) and is
-// cheap to compute.
+// Decay returns the remaining weight of an observation, from 1 at age 0 downwards. It approximates exp(-age/span) and
+// is cheap to compute.
 func Decay(age, span time.Duration) float64 {
 	x := float64(max(0, age)) / float64(max(1, span))
 	return 1 / (1 + x + x*x/2 + x*x*x/6)
--- a/core/gauger/gauger_test.go
+++ b/core/gauger/gauger_test.go
@@ -29,8 +29,9 @@
 	is.True(Encode(nil) == nil)
 }
 
-// Guards against an overloaded target that is taken for an average one: it holds three times its slots, and each of two
-// hundred instances receives a report of it once in many seconds, but all together several times a second.
+// Guards against an overloaded target that is taken for an average one: it has three times as many requests as slots,
+// and each of two hundred instances receives a report of it only once in many seconds, but all together receive several
+// a second.
 func TestBusyTargetIsSeenAcrossInstances(t *testing.T) {
 	is := is.New(t)
 	var local, other LoadTable
@@ -46,13 +47,13 @@
 		lastExchange = now
 	}
 	for _, g := range []*LoadTable{&local, &other} {
-		known := map[uint32]float64{}
+		loads := map[uint32]float64{}
 		for _, r := range g.Since(0) {
-			known[r.Target] = r.PerSlot
+			loads[r.Target] = r.PerSlot
 		}
-		is.Equal(len(known), 51)
-		is.True(math.Abs(known[Key("busy")]-3) < 0.1)
-		is.True(math.Abs(known[Key("idle7")]-0.25) < 0.1)
+		is.Equal(len(loads), 51)
+		is.True(math.Abs(loads[Key("busy")]-3) < 0.1)
+		is.True(math.Abs(loads[Key("idle7")]-0.25) < 0.1)
 	}
 	t.Run("only changes are published", func(t *testing.T) {
 		is := is.New(t)
