--- a/core/shifter/shifter.go
+++ b/core/shifter/shifter.go
@@ -54,8 +54,8 @@
 	}
 	fresh := now.Sub(m.At) < MaxMeasurementAge && m.Answers >= minSamples
 	if !fresh {
-		// Missing measurements say nothing about the new region: the next stage could overload it, and the previous
-		// one would move traffic for no reason.
+		// Missing measurements say nothing about the new region: the next stage could overload it, and going back would
+		// move traffic for no reason.
 		return false
 	}
 	if m.unhealthy() {
--- a/core/shifter/shifter_test.go
+++ b/core/shifter/shifter_test.go
@@ -47,8 +47,8 @@
 	})
 }
 
-// Measurements stop in the middle of a move. Without them, the next stage could overload cold caches, and the previous
-// one would move all the traffic again for no reason.
+// Measurements stop in the middle of a move. Without them, the next stage could overload cold caches, and going back
+// would move all the traffic again for no reason.
 func TestStaleMeasurementChangesNothing(t *testing.T) {
 	is := is.New(t)
 	r := Ramp{FinalPercent: 100, Stages: 4}
