--- a/entry/internal/carrier/answer.go
+++ b/entry/internal/carrier/answer.go
@@ -13,12 +13,12 @@
 	"chervilrail.example/entry/internal/pooler"
 )
 
-// result is the final result of a request.
+// result is what a request ends with: an answer of a target, or one of this instance.
 type result struct {
 	status int
 	// answer is the target's answer; nil if this instance answers itself.
 	answer *pooler.Answer
-	// retry is when a refused caller should retry; zero sends no Retry-After header.
+	// retry is when a refused caller should retry; zero omits the Retry-After header.
 	retry  time.Time
 	reason string
 	// disconnected is set if the caller closed the connection, so that no answer can be written.
@@ -85,7 +85,8 @@
 		version = j.view.Table.Plan.GetVersion()
 	}
 	_ = level.Info(c.Logger).Log("msg", "request", "id", j.call.ID, "route", j.route.GetName(), "service", j.service,
-		"organisation", j.organisation.GetName(), "object", objectHash(j.object), "host", j.place.Target, "by", j.place.Reason, "located", j.locateTime,
+		"organisation", j.organisation.GetName(), "object", objectHash(j.object), "host", j.place.Target,
+		"by", j.place.Reason, "located", j.locateTime,
 		"version", version, "target", j.target, "region", j.region, "sends", j.sends, "status", out.status,
 		"reason", out.reason, "waited", j.queueTime, "took", took, "left", time.Until(j.deadline), "load", j.load)
 }
--- a/entry/internal/carrier/attempt.go
+++ b/entry/internal/carrier/attempt.go
@@ -17,7 +17,8 @@
 	"chervilrail.example/entry/internal/pooler"
 )
 
-// attemptState is what is known about the execution of an attempt; of several attempts, the highest value counts.
+// attemptState is what is known about the execution of an attempt. The values rise with the uncertainty; of several
+// failed attempts, the highest value counts.
 type attemptState int
 
 const (
@@ -31,15 +32,15 @@
 	unknown
 )
 
-// dispatch sends a request until it has a final result. It returns the result and what is known about the request's
-// execution over all attempts.
+// dispatch makes attempts until a request has a final result. It returns the result and what is known about the
+// request's execution over all attempts.
 func (c *Carrier) dispatch(j *job) (result, attemptState) {
-	g := c.serviceState(j.service)
-	g.countRequest(j.started)
+	svc := c.serviceState(j.service)
+	svc.countRequest(j.started)
 	var tried []string
 	worst := unsent
 	for {
-		decision, present := g.admit(j.request.Context(), c.ticket(j, g, tried))
+		decision, present := svc.admit(j.request.Context(), c.ticket(j, svc, tried))
 		j.queueTime = time.Since(j.started)
 		if !present {
 			return callerDisconnected(), worst
@@ -50,7 +51,7 @@
 		if decision.Target == nil {
 			return c.failure(j, worst), worst
 		}
-		out, state := c.attempt(j, g, decision)
+		out, state := c.attempt(j, svc, decision)
 		if state == answered {
 			return out, answered
 		}
@@ -58,15 +59,15 @@
 		// The least certain attempt decides what is reported: if one attempt may have been executed, a later one that
 		// was not does not change that.
 		worst = max(worst, state)
-		if !c.mayRetry(j, g, state) {
+		if !c.mayRetry(j, svc, state) {
 			return c.failure(j, worst), worst
 		}
 	}
 }
 
-func (c *Carrier) ticket(j *job, g *serviceState, tried []string) *placer.Ticket {
+func (c *Carrier) ticket(j *job, svc *serviceState, tried []string) *placer.Ticket {
 	warm, cold := c.routes.expected(j.route)
-	j.place = c.locate(j, g, cold)
+	j.place = c.locate(j, svc, cold)
 	return &placer.Ticket{
 		Host:           j.place.Target,
 		WarmAt:         j.place.WarmAt,
@@ -85,37 +86,38 @@
 }
 
 // locate returns the target that keeps the request's object warm; the place is empty if there is none.
-func (c *Carrier) locate(j *job, g *serviceState, cold time.Duration) placer.Assignment {
+func (c *Carrier) locate(j *job, svc *serviceState, cold time.Duration) placer.Assignment {
 	j.object = j.objectName()
 	if j.object == "" {
 		return placer.Assignment{}
 	}
 	started := time.Now()
-	if place, ok := g.knownPlace(started, j.object, j.regions); ok {
+	if place, ok := svc.knownPlace(started, j.object, j.regions); ok {
 		return place
 	}
 	if len(j.organisation.GetRegions()) > 0 {
 		j.object = j.regionBoundName(j.object)
-		if place, ok := g.knownPlace(started, j.object, j.regions); ok {
+		if place, ok := svc.knownPlace(started, j.object, j.regions); ok {
 			return place
 		}
 	}
 	place := c.Locator.Locate(j.request.Context(), j.view.Peers, j.service, placer.AssignRequest{
-		Object: j.object, Route: j.route.GetName(), Hint: g.lastTarget(j.object), ColdTime: cold, Regions: j.regions,
+		Object: j.object, Route: j.route.GetName(), Hint: svc.lastTarget(j.object), ColdTime: cold, Regions: j.regions,
 	})
 	j.locateTime = time.Since(started)
-	g.cachePlace(time.Now(), j.object, place)
+	svc.cachePlace(time.Now(), j.object, place)
 	return place
 }
 
 // maxLossesForRetry is the number of targets that may have failed while executing a request that is still retried. A
-// single failure is mostly not caused by the request, and its caller would miss an answer that the next target can give.
+// single failure is mostly not caused by the request, and without a retry the caller would miss an answer that the next
+// target can give.
 const maxLossesForRetry = 1
 
-// mayRetry reports whether a request is sent again. A request that may have been executed is retried only if it is
-// idempotent. A retry after an attempt that reached a target is charged to the retry budget, because all instances
-// together may repeat only a fraction of their requests.
-func (c *Carrier) mayRetry(j *job, g *serviceState, state attemptState) bool {
+// mayRetry reports whether a request is sent again after an attempt with the given state. A request that may have been
+// executed is retried only if it is idempotent. A retry after an attempt that reached a target is charged to the retry
+// budget, because all instances together may repeat only a fraction of their requests.
+func (c *Carrier) mayRetry(j *job, svc *serviceState, state attemptState) bool {
 	now := time.Now()
 	if !now.Before(j.deadline) || j.request.Context().Err() != nil {
 		return false
@@ -129,25 +131,25 @@
 		}
 	case notExecuted, answered:
 	}
-	return j.sends < int(max(1, j.route.GetAttempts())) && g.spendRetry(now, j.view.InstanceCount)
+	return j.sends < int(max(1, j.route.GetAttempts())) && svc.spendRetry(now, j.view.InstanceCount)
 }
 
 // attempt sends the request to one target, on which it already holds a slot.
-func (c *Carrier) attempt(j *job, g *serviceState, decision placer.Decision) (result, attemptState) {
-	t := decision.Target
-	// A target other than the object's host was chosen because the host has no free slot; it is no hint for the next
-	// request for the object.
-	if j.place.Target == "" || j.place.Target == t.Name {
-		g.recordTarget(j.object, t.Name)
+func (c *Carrier) attempt(j *job, svc *serviceState, decision placer.Decision) (result, attemptState) {
+	target := decision.Target
+	// A target other than the object's host was chosen because the host has no free slot; it is no hint of where to
+	// send the object's next request.
+	if j.place.Target == "" || j.place.Target == target.Name {
+		svc.recordTarget(j.object, target.Name)
 	}
-	j.target, j.region = t.Name, t.Region
+	j.target, j.region = target.Name, target.Region
 	start := time.Now()
 	ctx, cancel := j.context()
 	defer cancel()
 	warm, cold := c.routes.expected(j.route)
-	running := c.overdue.begin(start, t.Name, warm, cold)
+	running := c.overdue.begin(start, target.Name, warm, cold)
 	defer c.overdue.end(running)
-	answer, sendOutcome, err := c.Sender.Send(ctx, t.Address, c.outgoing(j, t, start))
+	answer, sendOutcome, err := c.Sender.Send(ctx, target.Address, c.outgoing(j, target, start))
 	if sendOutcome != pooler.Unsent {
 		j.sends++
 	}
@@ -156,36 +158,38 @@
 	if sendOutcome == pooler.Answered {
 		outcome.Load = c.Codec.Reply(answer.Status, answer.Header).Load
 		j.load = outcome.Load
-		c.observe(t, outcome.Load)
+		c.observe(target, outcome.Load)
 	}
 	if state == answered {
 		outcome.ResponseTime = time.Since(start)
-		if t.Region != c.Region {
+		if target.Region != c.Region {
 			outcome.ResponseTime = max(0, outcome.ResponseTime-regionRoundTrip)
 		}
-		outcome.ExpectedTime = c.routes.expectedLike(j.route, outcome.ResponseTime)
+		outcome.ExpectedTime = c.routes.meanServiceTime(j.route, outcome.ResponseTime)
 		outcome.Failed = answer.Status >= http.StatusInternalServerError
 		c.routes.recordServiceTime(j.route, outcome.ResponseTime)
 		c.clearSuspicion(start, j)
 	}
 	if err != nil {
 		outcome.Unreachable = ctx.Err() == nil
-		c.recordLoss(j, t, loss{sendOutcome: sendOutcome, err: err, cancelled: ctx.Err() != nil, took: time.Since(start)})
+		c.recordLoss(j, target, loss{
+			sendOutcome: sendOutcome, err: err, cancelled: ctx.Err() != nil, took: time.Since(start),
+		})
 	}
-	g.done(t, outcome)
+	svc.done(target, outcome)
 	return out, state
 }
 
 // observe reports the load that a target sent with its answer, if the report is usable.
-func (c *Carrier) observe(t *placer.Target, l *messenger.Load) {
+func (c *Carrier) observe(target *placer.Target, l *messenger.Load) {
 	if load, ok := l.PerSlot(); ok {
-		c.Views.Observe(gauger.Reading{Target: gauger.Key(t.Name), PerSlot: load})
+		c.Views.Observe(gauger.Reading{Target: gauger.Key(target.Name), PerSlot: load})
 	}
 }
 
-// context returns the context of an attempt, which ends answerMargin after the request's deadline. An idempotent request
-// is cancelled when its caller disconnects; any other continues, because cancelling it halfway would leave the caller
-// uncertain whether, for example, a booking was made.
+// context returns the context of an attempt, which ends answerMargin after the request's deadline. An idempotent
+// request is cancelled when its caller disconnects; any other continues, because cancelling it halfway would leave the
+// caller uncertain whether, for example, a booking was made.
 func (j *job) context() (context.Context, context.CancelFunc) {
 	ctx := j.request.Context()
 	if !j.route.GetIdempotent() {
@@ -194,12 +198,12 @@
 	return context.WithDeadline(ctx, j.deadline.Add(answerMargin))
 }
 
-func (c *Carrier) outgoing(j *job, t *placer.Target, now time.Time) *pooler.Request {
+func (c *Carrier) outgoing(j *job, target *placer.Target, now time.Time) *pooler.Request {
 	header := j.request.Header.Clone()
 	messenger.RemoveHop(header)
 	header.Del("Content-Length")
 	c.Codec.Address(header, messenger.Addressee{
-		Target: t.Name, Organisation: j.organisation.GetName(), Deadline: j.deadline,
+		Target: target.Name, Organisation: j.organisation.GetName(), Deadline: j.deadline,
 	}, now)
 	return &pooler.Request{
 		Method:  j.request.Method,
@@ -229,8 +233,8 @@
 		return result{}, unknown
 	}
 	if impliesNotExecuted(a.Status) && !j.route.GetIdempotent() {
-		// If forwarded, these statuses would tell the caller that the request was not executed, which the target did not
-		// report.
+		// If forwarded, these statuses would tell the caller that the request was not executed, which the target did
+		// not report.
 		return result{}, unknown
 	}
 	return result{status: a.Status, answer: a, reason: "answered"}, answered
@@ -271,22 +275,23 @@
 	return 0
 }
 
-// recordLoss logs a failed attempt, closes the idle connections to its target, and reports the loss to all entry
-// instances if the target may have crashed while executing the request.
-func (c *Carrier) recordLoss(j *job, t *placer.Target, l loss) {
-	_ = level.Info(c.Logger).Log("msg", "attempt failed", "id", j.call.ID, "target", t.Name, "zone", t.Zone,
-		"sent", l.sendOutcome != pooler.Unsent, "late", l.cancelled, "took", l.took, "held", l.unacknowledged(), "err", l.err)
+// recordLoss logs and counts a failed attempt and closes the idle connections to its target. If the target may have
+// crashed while executing the request, it records the loss and reports it to all entry instances.
+func (c *Carrier) recordLoss(j *job, target *placer.Target, l loss) {
+	_ = level.Info(c.Logger).Log("msg", "attempt failed", "id", j.call.ID, "target", target.Name, "zone", target.Zone,
+		"sent", l.sendOutcome != pooler.Unsent, "late", l.cancelled, "took", l.took,
+		"held", l.unacknowledged(), "err", l.err)
 	if l.unacknowledged() > 0 {
 		c.Metrics.undelivered.WithLabelValues(j.service).Inc()
 	}
-	c.Sender.CloseIdle(t.Address)
+	c.Sender.CloseIdle(target.Address)
 	// A target that has not received the whole request does not execute it, and did not crash because of it.
 	if l.sendOutcome != pooler.Broken || l.cancelled || l.unacknowledged() > 0 {
 		return
 	}
-	run := quarantiner.Run{Target: t.Name, Incarnation: t.Incarnation}
+	run := quarantiner.Run{Target: target.Name, Incarnation: target.Incarnation}
 	if c.Quarantine.Lose(time.Now(), j.fingerprint, run) {
-		c.Views.ReportLoss(&wire.Loss{Fingerprint: j.fingerprint[:], Target: t.Name, Incarnation: t.Incarnation})
+		c.Views.ReportLoss(&wire.Loss{Fingerprint: j.fingerprint[:], Target: target.Name, Incarnation: target.Incarnation})
 	}
 }
 
--- a/entry/internal/carrier/carrier.go
+++ b/entry/internal/carrier/carrier.go
@@ -38,7 +38,7 @@
 	noPlanRetryDelay = 500 * time.Millisecond
 )
 
-// Views gives the latest view of the control state, and takes what this instance reports to the controllers.
+// Views returns the latest view of the control state, and sends this instance's reports to the controllers.
 type Views interface {
 	View() *watcher.View
 	ReportLoss(l *wire.Loss)
@@ -84,12 +84,13 @@
 	Logger     log.Logger
 	Metrics    *Metrics
 
+	// mu guards services and labelledPlan.
 	mu          sync.Mutex
 	services    map[string]*serviceState
 	routes      routes
 	overdue     overdueRequests
 	withdrawals withdrawals
-	// labelledPlan is the plan whose organisations have labels in the metrics.
+	// labelledPlan is the plan from which the organisations with a label in the metrics were chosen.
 	labelledPlan *wire.Plan
 	stopping     atomic.Bool
 	running      atomic.Int64
@@ -171,8 +172,8 @@
 }
 
 // balance publishes the new places of the objects that move to other targets.
-func (c *Carrier) balance(now time.Time, service string, g *serviceState) {
-	for _, m := range g.balance(now) {
+func (c *Carrier) balance(now time.Time, service string, svc *serviceState) {
+	for _, m := range svc.balance(now) {
 		c.publishPlace(service, m.Object, m.Assignment)
 	}
 }
@@ -217,7 +218,7 @@
 	}
 }
 
-// UpdateHosts takes the targets that keep objects warm, as published by the controllers.
+// UpdateHosts records the targets that keep objects warm, as published by the controllers.
 func (c *Carrier) UpdateHosts(hosts []*wire.Host) {
 	now := time.Now()
 	for _, h := range hosts {
@@ -225,7 +226,7 @@
 	}
 }
 
-// UpdateLoads takes the targets' loads, as published by the controllers.
+// UpdateLoads records the targets' loads, as published by the controllers.
 func (c *Carrier) UpdateLoads(loads []gauger.Reading) {
 	now := time.Now()
 	for _, g := range c.allServices() {
@@ -248,12 +249,12 @@
 func (c *Carrier) serviceState(service string) *serviceState {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	g, ok := c.services[service]
+	svc, ok := c.services[service]
 	if !ok {
-		g = newServiceState(c.Region, c.Zone)
-		c.services[service] = g
+		svc = newServiceState(c.Region, c.Zone)
+		c.services[service] = svc
 	}
-	return g
+	return svc
 }
 
 // ServeHTTP handles one request and writes its final answer.
@@ -269,8 +270,8 @@
 	c.writeResult(w, j, out)
 }
 
-// awaitView returns the latest view. An instance that has just started has none for a moment, but callers may already be
-// sent to it; their requests wait for up to firstPlanTimeout. It returns nil if there is still no view then.
+// awaitView returns the latest view. An instance that has just started has none for a moment, but callers may already
+// be sent to it; their requests wait for up to firstPlanTimeout. It returns nil if there is still no view then.
 func (c *Carrier) awaitView(j *job) *watcher.View {
 	if view := c.Views.View(); view != nil {
 		return view
@@ -291,7 +292,7 @@
 	}
 }
 
-// handle takes a request through all steps to its result: routing, quarantine, quota and the attempts.
+// handle runs all steps of a request and returns its result: routing, quarantine, quota and the attempts.
 func (c *Carrier) handle(j *job) result {
 	j.view = c.awaitView(j)
 	if j.view == nil {
--- a/entry/internal/carrier/carrier_test.go
+++ b/entry/internal/carrier/carrier_test.go
@@ -56,24 +56,26 @@
 	cancelCalls int
 }
 
-func (s *fakeSender) Send(ctx context.Context, _ netip.AddrPort, r *pooler.Request) (*pooler.Answer, pooler.Outcome, error) {
+func (s *fakeSender) Send(
+	ctx context.Context, _ netip.AddrPort, r *pooler.Request,
+) (*pooler.Answer, pooler.Outcome, error) {
 	s.mu.Lock()
 	s.sent = append(s.sent, r)
-	e := s.attempts[min(len(s.sent), len(s.attempts))-1]
+	attempt := s.attempts[min(len(s.sent), len(s.attempts))-1]
 	s.mu.Unlock()
-	if e.hang {
+	if attempt.hang {
 		<-ctx.Done()
 		s.mu.Lock()
 		s.cancelled++
 		s.mu.Unlock()
 		return nil, pooler.Broken, ctx.Err()
 	}
-	if e.outcome != pooler.Answered {
-		return nil, e.outcome, errors.New("scripted")
+	if attempt.outcome != pooler.Answered {
+		return nil, attempt.outcome, errors.New("scripted")
 	}
-	header := e.header.Clone()
+	header := attempt.header.Clone()
 	header.Set(translator.HeaderAttemptID, r.Header.Get(translator.HeaderAttemptID))
-	return &pooler.Answer{Status: e.status, Header: header, Body: []byte("body")}, pooler.Answered, nil
+	return &pooler.Answer{Status: attempt.status, Header: header, Body: []byte("body")}, pooler.Answered, nil
 }
 
 func (s *fakeSender) CancelUndelivered(netip.AddrPort, time.Time) int {
@@ -148,8 +150,10 @@
 		Table: planner.NewTable(testPlan()), Targets: map[string][]placer.Spec{"listings": specs}, InstanceCount: 1,
 	}
 	c := &Carrier{
-		Self: "e1", Locator: soleInstance{}, Quotas: unlimitedQuotas{}, Region: "r", Zone: "z", Codec: translator.Codec{}, Views: viewsWith(view), Sender: s,
-		Quarantine: &quarantiner.Quarantiner{Confirm: 3}, Logger: log.NewNopLogger(), Metrics: NewMetrics(prometheus.NewRegistry()),
+		Self: "e1", Locator: soleInstance{}, Quotas: unlimitedQuotas{}, Region: "r", Zone: "z",
+		Codec: translator.Codec{}, Views: viewsWith(view), Sender: s,
+		Quarantine: &quarantiner.Quarantiner{Confirm: 3}, Logger: log.NewNopLogger(),
+		Metrics: NewMetrics(prometheus.NewRegistry()),
 	}
 	is.New(t).NoErr(c.Start(context.Background(), nil))
 	c.ApplyView(view)
@@ -167,8 +171,9 @@
 	return w
 }
 
-// Covers every outcome of an attempt. A request that is not idempotent is never sent again after it may have been
-// executed, and is reported as not executed only if that is certain; an idempotent one is retried at another target.
+// Covers every outcome of an attempt. The route "once" is not idempotent, "safe" is. A request that is not idempotent
+// is never sent again after it may have been executed, and is reported as not executed only if that is certain; an
+// idempotent one is retried at another target.
 func TestAttemptOutcomes(t *testing.T) {
 	broken := scriptedAttempt{outcome: pooler.Broken}
 	unsent := scriptedAttempt{outcome: pooler.Unsent}
@@ -241,7 +246,7 @@
 // The caller disconnects. An idempotent request is cancelled at once; any other continues, because cancelled halfway it
 // would leave a booking in doubt.
 func TestCallerDisconnects(t *testing.T) {
-	for path, ended := range map[string]bool{"/safe/1": true, "/once/1": false} {
+	for path, cancelled := range map[string]bool{"/safe/1": true, "/once/1": false} {
 		t.Run(path, func(t *testing.T) {
 			is := is.New(t)
 			c, s := startCarrier(t, scriptedAttempt{hang: true})
@@ -252,7 +257,7 @@
 			time.AfterFunc(30*time.Millisecond, cancel)
 			started := time.Now()
 			c.ServeHTTP(httptest.NewRecorder(), r)
-			is.Equal(time.Since(started) < 200*time.Millisecond, ended)
+			is.Equal(time.Since(started) < 200*time.Millisecond, cancelled)
 			is.Equal(s.cancelled, 1)
 		})
 	}
--- a/entry/internal/carrier/gate.go
+++ b/entry/internal/carrier/gate.go
@@ -88,14 +88,14 @@
 	return placer.Assignment{Target: found.target, Reason: "recent"}, true
 }
 
-// updateHost takes an object's place as published by the controllers.
+// updateHost records an object's place as published by the controllers.
 func (g *serviceState) updateHost(now time.Time, h *wire.Host) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.placement.RecordAssignment(now, h.GetObject(), h.GetTarget(), h.GetRoute(), h.GetVersion())
 }
 
-// updateLoads takes the loads of targets as published by the controllers.
+// updateLoads records the loads of targets as published by the controllers.
 func (g *serviceState) updateLoads(now time.Time, loads []gauger.Reading) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -120,14 +120,17 @@
 	return &serviceState{placement: placer.Placer{Region: region, Zone: zone, InterRegionRTT: regionRoundTrip}}
 }
 
-// applyView updates the service to a view. It returns the targets that were withdrawn with requests still in flight.
-func (g *serviceState) applyView(now time.Time, specs []placer.Spec, v *watcher.View, peers Locator, self int) []placer.Spec {
+// applyView updates the service's targets and peers to a view; self is the index of this instance among the peers. It
+// returns the targets that were withdrawn with requests still in flight.
+func (g *serviceState) applyView(
+	now time.Time, specs []placer.Spec, v *watcher.View, objectLocator Locator, self int,
+) []placer.Spec {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	withdrawn := g.placement.Update(now, specs, v.InstanceCount)
 	if g.peers == nil || !slices.Equal(g.peers, v.Peers) {
 		g.peers = v.Peers
-		g.placement.SetOwnership(func(object uint64) bool { return peers.Owns(v.Peers, object) }, self, len(v.Peers))
+		g.placement.SetOwnership(func(object uint64) bool { return objectLocator.Owns(v.Peers, object) }, self, len(v.Peers))
 	}
 	deliverDecisions(g.placement.Tick(now))
 	return withdrawn
@@ -194,9 +197,10 @@
 	g.budget.Ask(now)
 }
 
-// spendRetry charges one retry to the service's retry budget; false if the budget does not allow it.
-func (g *serviceState) spendRetry(now time.Time, entries int) bool {
+// spendRetry charges one retry to the service's retry budget, which is shared by the given number of entry instances;
+// false if the budget does not allow it.
+func (g *serviceState) spendRetry(now time.Time, instances int) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.budget.Spend(now, entries)
+	return g.budget.Spend(now, instances)
 }
--- a/entry/internal/carrier/job.go
+++ b/entry/internal/carrier/job.go
@@ -17,7 +17,7 @@
 )
 
 const (
-	// maxBody limits a request's body, in bytes, where the plan allows more: the whole body is kept in memory.
+	// maxBody limits a request's body, in bytes, unless the plan sets a lower limit: the whole body is kept in memory.
 	maxBody = 16 << 20
 	// defaultTimeout is a request's time-out when its route sets none; the caller's deadline may shorten it.
 	defaultTimeout = 30 * time.Second
@@ -38,7 +38,7 @@
 	organisation *wire.Organisation
 	// regions are those that may serve it by its route and organisation; empty allows all.
 	regions []string
-	// quota is the verdict by the organisation's quota.
+	// quota is the verdict of the organisation's quota.
 	quota       quoter.Verdict
 	deadline    time.Time
 	body        []byte
@@ -115,7 +115,8 @@
 	return j.request.URL.RequestURI()
 }
 
-// fingerprint hashes all that a target would execute, so that a repeated request has the same fingerprint.
+// fingerprint hashes all that a target would execute: a request that crashes targets has the same fingerprint each time
+// it is sent.
 func fingerprint(j *job) quarantiner.Fingerprint {
 	var out quarantiner.Fingerprint
 	for half := range 2 {
--- a/entry/internal/carrier/metrics.go
+++ b/entry/internal/carrier/metrics.go
@@ -12,7 +12,7 @@
 	"chervilrail.example/core/wire"
 )
 
-// Metrics counts requests by service, status and reason, and objects that were placed.
+// Metrics counts requests by service, status and reason, measures their times, and counts objects that were placed.
 type Metrics struct {
 	requests      *prometheus.CounterVec
 	duration      *prometheus.HistogramVec
--- a/entry/internal/carrier/organisation.go
+++ b/entry/internal/carrier/organisation.go
@@ -73,9 +73,9 @@
 	return j.route.GetName() + "/" + j.call.Key
 }
 
-// regionBoundName returns a second name of the object for organisations that are bound to regions. If the object's place
-// lies outside those regions, the second name has a place inside them: a shared place would move back and forth with each
-// request.
+// regionBoundName returns a second name of the object for organisations that are bound to regions. If the object's
+// place lies outside those regions, the second name has a place inside them: a shared place would move back and forth
+// with each request.
 func (j *job) regionBoundName(object string) string {
 	return object + "@" + strings.Join(j.organisation.GetRegions(), ",")
 }
--- a/entry/internal/carrier/organisation_test.go
+++ b/entry/internal/carrier/organisation_test.go
@@ -37,18 +37,19 @@
 
 const secret = "s3cret"
 
-// requireKeys gives the carrier a plan that requires keys. The key of acme is secret; bound may be served only in region
-// q, which has no target.
-func requireKeys(c *Carrier, m *fakeQuotas) {
-	c.Quotas = m
+// requireKeys gives the carrier a plan that requires keys. The key of acme is secret; bound may be served only in
+// region q, which has no target.
+func requireKeys(c *Carrier, quotas *fakeQuotas) {
+	c.Quotas = quotas
 	view := *c.Views.View()
 	p := testPlan()
-	open := true
+	public := true
 	p.Routes = append(p.Routes, &wire.Route{
-		Name: "public", Host: "h.example", Prefix: "/public/", Public: &open, Splits: p.GetRoutes()[0].GetSplits(), Attempts: 2,
+		Name: "public", Host: "h.example", Prefix: "/public/", Public: &public, Splits: p.GetRoutes()[0].GetSplits(), Attempts: 2,
 		Timeout: int64(300 * time.Millisecond), Aim: int64(100 * time.Millisecond),
 	}, &wire.Route{
-		Name: "home", Host: "h.example", Prefix: "/home/", Splits: p.GetRoutes()[0].GetSplits(), Attempts: 2, Regions: []string{"r"},
+		Name: "home", Host: "h.example", Prefix: "/home/", Splits: p.GetRoutes()[0].GetSplits(), Attempts: 2,
+		Regions: []string{"r"},
 		Timeout: int64(300 * time.Millisecond), Aim: int64(100 * time.Millisecond),
 	})
 	p.Keyed = true
@@ -132,8 +133,10 @@
 	is := is.New(t)
 	c, s := startCarrier(t, signedAnswer(200))
 	requireKeys(c, &fakeQuotas{})
-	is.Equal(sendWithHeader(c, "/home/1", key("bound")).Code, http.StatusServiceUnavailable) // organisation and route have no region in common
-	is.Equal(sendWithHeader(c, "/once/1", key("bound")).Code, http.StatusServiceUnavailable) // no target in the region
+	// The organisation and the route have no region in common.
+	is.Equal(sendWithHeader(c, "/home/1", key("bound")).Code, http.StatusServiceUnavailable)
+	// There is no target in the region of the organisation.
+	is.Equal(sendWithHeader(c, "/once/1", key("bound")).Code, http.StatusServiceUnavailable)
 	is.Equal(len(s.sent), 0)
 	view := *c.Views.View()
 	view.Targets = map[string][]placer.Spec{"listings": append(view.Targets["listings"], placer.Spec{
@@ -176,7 +179,7 @@
 	cases := []struct {
 		name     string
 		verdict  quoter.Verdict
-		end      scriptedAttempt
+		attempt  scriptedAttempt
 		status   int
 		sends    int
 		returned int
@@ -192,14 +195,14 @@
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
-			c, s := startCarrier(t, test.end)
-			m := &fakeQuotas{verdict: test.verdict}
-			requireKeys(c, m)
+			c, s := startCarrier(t, test.attempt)
+			quotas := &fakeQuotas{verdict: test.verdict}
+			requireKeys(c, quotas)
 			w := sendWithHeader(c, "/once/1", key(secret))
 			is.Equal(w.Code, test.status)
 			is.Equal(len(s.sent), test.sends)
-			is.Equal(m.returned, test.returned)
-			is.Equal(m.admitted, []string{"acme"})
+			is.Equal(quotas.returned, test.returned)
+			is.Equal(quotas.admitted, []string{"acme"})
 			is.Equal(w.Header().Get("Retry-After") != "", test.status == 429 || test.status == 503)
 		})
 	}
--- a/entry/internal/carrier/overdue.go
+++ b/entry/internal/carrier/overdue.go
@@ -8,14 +8,15 @@
 )
 
 const (
-	// overdueMarginDivisor: a request is overdue when it has taken a quarter longer than a cold run is expected to.
+	// overdueMarginDivisor: a request is overdue once it has taken 1/overdueMarginDivisor longer than a cold run is
+	// expected to take.
 	overdueMarginDivisor = 4
 	// overdueReportInterval is how often an overdue request is reported.
 	overdueReportInterval = 500 * time.Millisecond
 )
 
-// overdueRequests tracks the requests in flight at targets. It guards against targets that become many times slower: they
-// do not answer, so they send no load reports, and requests would be sent there until the first ones reach their
+// overdueRequests tracks the requests in flight at targets. It guards against targets that become many times slower:
+// they do not answer, so they send no load reports, and requests would be sent there until the first ones reach their
 // deadlines. By Little's law, a request that has been in flight for a time indicates as many requests per slot as runs
 // would fit into that time. The zero value is ready.
 type overdueRequests struct {
@@ -34,20 +35,22 @@
 
 // begin tracks a request that is sent to a target now; warm and cold are the expected times of a run.
 func (o *overdueRequests) begin(now time.Time, target string, warm, cold time.Duration) *runningRequest {
-	s := &runningRequest{target: target, started: now, warm: max(1, warm), reportAt: now.Add(cold + cold/overdueMarginDivisor)}
+	request := &runningRequest{
+		target: target, started: now, warm: max(1, warm), reportAt: now.Add(cold + cold/overdueMarginDivisor),
+	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.running == nil {
 		o.running = map[*runningRequest]bool{}
 	}
-	o.running[s] = true
-	return s
+	o.running[request] = true
+	return request
 }
 
-func (o *overdueRequests) end(s *runningRequest) {
+func (o *overdueRequests) end(request *runningRequest) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	delete(o.running, s)
+	delete(o.running, request)
 }
 
 // due returns the loads that overdue requests indicate.
--- a/entry/internal/carrier/routes.go
+++ b/entry/internal/carrier/routes.go
@@ -11,8 +11,9 @@
 const (
 	// serviceTimeSmoothing: the newest service time of a route has the weight 1/serviceTimeSmoothing.
 	serviceTimeSmoothing = 8
-	// coldDecreaseSmoothing is the same for a cold time below the mean. maxColdIncrease limits a cold time to this
-	// multiple of the mean, which bounds the effect of one slow target.
+	// coldDecreaseSmoothing is the same for a cold time below the mean.
+	// maxColdIncrease: a cold time counts as at most this multiple of the mean, which bounds the effect of one slow
+	// target.
 	coldDecreaseSmoothing = 64
 	maxColdIncrease       = 3
 	// warmThreshold: a service time below this fraction of the cold one shows that the target had the object warm.
@@ -53,8 +54,8 @@
 	return s.state(r).splitter.Next(r)
 }
 
-// recordServiceTime records a service time. It counts as warm or cold by its length alone: the expectation may be wrong,
-// and with it the warm and cold means would converge.
+// recordServiceTime records a service time. It counts as warm or cold by its length alone: the expectation may be
+// wrong, and with it the warm and cold means would converge.
 func (s *routes) recordServiceTime(r *wire.Route, took time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -88,9 +89,9 @@
 	return old + (took-old)/divisor
 }
 
-// expectedLike returns the mean service time of the route's warm or cold requests, whichever a request that took this
-// long counts as.
-func (s *routes) expectedLike(r *wire.Route, took time.Duration) time.Duration {
+// meanServiceTime returns the mean service time of the route's warm or cold requests, whichever a request that took
+// this long counts as.
+func (s *routes) meanServiceTime(r *wire.Route, took time.Duration) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	state := s.state(r)
--- a/entry/internal/carrier/withdrawal.go
+++ b/entry/internal/carrier/withdrawal.go
@@ -18,15 +18,15 @@
 	minUndeliveredAge = 500 * time.Millisecond
 )
 
-// withdrawals are the targets that were withdrawn with requests still in flight. Requests that have not reached them after
-// undeliveredCheckDelay are cancelled, because behind a network partition they would arrive much later. The zero value is
-// ready.
+// withdrawals are the targets that were withdrawn with requests still in flight. Requests that have not reached them
+// after undeliveredCheckDelay are cancelled, because behind a network partition they would arrive much later. The zero
+// value is ready.
 type withdrawals struct {
 	mu   sync.Mutex
 	list []withdrawal
 }
 
-// withdrawal is a target that left the view; due is when its undelivered requests are cancelled.
+// withdrawal is a target that is no longer in the view; due is when its undelivered requests are cancelled.
 type withdrawal struct {
 	placer.Spec
 	due time.Time
@@ -53,7 +53,7 @@
 	return due
 }
 
-// cancelUndelivered cancels the requests that have not reached targets which were withdrawn.
+// cancelUndelivered cancels the requests that have not reached their targets, for all withdrawals that are due.
 func (c *Carrier) cancelUndelivered(now time.Time) {
 	for _, w := range c.withdrawals.takeDue(now) {
 		count := c.Sender.CancelUndelivered(w.Address, now.Add(-minUndeliveredAge))
--- a/entry/internal/carrier/withdrawal_test.go
+++ b/entry/internal/carrier/withdrawal_test.go
@@ -43,8 +43,10 @@
 		err    error
 		losses int
 	}{
-		"undelivered bytes": {&pooler.UndeliveredError{Address: netip.MustParseAddrPort("127.0.0.1:1"), Bytes: 9, Err: http.ErrHandlerTimeout}, 0},
-		"arrived":           {http.ErrHandlerTimeout, 1},
+		"undelivered bytes": {&pooler.UndeliveredError{
+			Address: netip.MustParseAddrPort("127.0.0.1:1"), Bytes: 9, Err: http.ErrHandlerTimeout,
+		}, 0},
+		"arrived": {http.ErrHandlerTimeout, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
