--- a/entry/internal/pooler/cancel_test.go
+++ b/entry/internal/pooler/cancel_test.go
@@ -23,8 +23,8 @@
 	bodySize = 24 << 10
 )
 
-// startSlowTarget starts a target that reads nothing until start is closed; the channel then gets the number of body bytes
-// it received.
+// startSlowTarget starts a target that reads nothing until start is closed; the channel then gets the number of body
+// bytes it received.
 func startSlowTarget(t *testing.T, start <-chan struct{}) (netip.AddrPort, <-chan int) {
 	t.Helper()
 	small := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
--- a/entry/internal/pooler/flight.go
+++ b/entry/internal/pooler/flight.go
@@ -29,8 +29,8 @@
 	delete(p.pending, c)
 }
 
-// CancelUndelivered cancels the requests that were sent to a target before a time and of which the target's TCP stack has
-// acknowledged nothing, and returns their number. Their attempts end as Broken.
+// CancelUndelivered cancels the requests that were sent to a target before a time and of which the target's TCP stack
+// has acknowledged nothing, and returns their number. Their attempts end as Broken.
 func (p *Pooler) CancelUndelivered(address netip.AddrPort, before time.Time) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -64,8 +64,8 @@
 // Unwrap returns the error with which the attempt ended.
 func (e *UndeliveredError) Unwrap() error { return e.Err }
 
-// wrapUndelivered returns the error of a failed attempt, wrapped in an UndeliveredError if the target's TCP stack has not
-// acknowledged all bytes.
+// wrapUndelivered returns the error of a failed attempt, wrapped in an UndeliveredError if the target's TCP stack has
+// not acknowledged all bytes.
 func (c *conn) wrapUndelivered(err error) error {
 	bytes, ok := prober.Unacknowledged(c.Conn)
 	if !ok || bytes == 0 {
--- a/entry/internal/pooler/pooler.go
+++ b/entry/internal/pooler/pooler.go
@@ -1,5 +1,5 @@
-// Package pooler pools connections to targets; each carries one request at a time. Unlike the standard library's client,
-// it never retries a request by itself, knows whether a byte of it may have left, and needs no goroutine for a
+// Package pooler pools connections to targets; each carries one request at a time. Unlike the standard library's
+// client, it never retries a request by itself, knows whether a byte of it may have left, and needs no goroutine for a
 // connection.
 package pooler
 
@@ -68,7 +68,8 @@
 	Body   []byte
 }
 
-// Pooler holds the idle connections and the requests in flight. Its zero value is ready; it is safe for concurrent use.
+// Pooler manages the idle connections and the requests in flight. Its zero value is ready; it is safe for concurrent
+// use.
 type Pooler struct {
 	mu   sync.Mutex
 	idle map[netip.AddrPort][]*conn
@@ -80,7 +81,8 @@
 	net.Conn
 	reader  *bufio.Reader
 	address netip.AddrPort
-	fresh   bool
+	// fresh is set until the connection has carried a request.
+	fresh bool
 	// idleUntil is the time until which the idle connection may be reused.
 	idleUntil time.Time
 }
--- a/entry/internal/pooler/pooler_test.go
+++ b/entry/internal/pooler/pooler_test.go
@@ -26,18 +26,18 @@
 	socket, err := net.Listen("tcp", "127.0.0.1:0")
 	is.New(t).NoErr(err)
 	t.Cleanup(func() { _ = socket.Close() })
-	s := &fakeTarget{address: netip.MustParseAddrPort(socket.Addr().String())}
+	target := &fakeTarget{address: netip.MustParseAddrPort(socket.Addr().String())}
 	go func() {
 		for {
 			c, err := socket.Accept()
 			if err != nil {
 				return
 			}
-			s.accepted.Add(1)
-			go s.serveConnection(c, answer)
+			target.accepted.Add(1)
+			go target.serveConnection(c, answer)
 		}
 	}()
-	return s
+	return target
 }
 
 func (s *fakeTarget) serveConnection(c net.Conn, answer func(c net.Conn, n int)) {
@@ -68,34 +68,34 @@
 	}
 }
 
-func send(t *testing.T, p *Pooler, s *fakeTarget) (*Answer, Outcome) {
+func send(t *testing.T, p *Pooler, target *fakeTarget) (*Answer, Outcome) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 500*time.Millisecond)
 	defer cancel()
-	a, outcome, _ := p.Send(ctx, s.address, request("hello"))
+	a, outcome, _ := p.Send(ctx, target.address, request("hello"))
 	return a, outcome
 }
 
 func TestConnectionIsReused(t *testing.T) {
 	is := is.New(t)
-	s := startTarget(t, func(c net.Conn, _ int) { write(c, completeAnswer) })
+	target := startTarget(t, func(c net.Conn, _ int) { write(c, completeAnswer) })
 	p := &Pooler{}
 	defer p.Close()
 	for range 5 {
-		a, outcome := send(t, p, s)
+		a, outcome := send(t, p, target)
 		is.Equal(outcome, Answered)
 		is.Equal(string(a.Body), "body")
 		// The previous request's deadline passes; it must not make the connection look broken.
 		time.Sleep(20 * time.Millisecond)
 	}
 	time.Sleep(600 * time.Millisecond)
-	_, outcome := send(t, p, s)
+	_, outcome := send(t, p, target)
 	is.Equal(outcome, Answered)
-	is.Equal(s.accepted.Load(), int32(1))
+	is.Equal(target.accepted.Load(), int32(1))
 }
 
-// The target fails in each of the observed ways. None may look like a complete answer: the caller would take a partial
-// answer, or one to another caller, for its own.
+// The target fails in each way that was observed of broken targets. None may look like a complete answer: the caller
+// would take a partial answer, or one to another caller, for its own.
 func TestIncompleteAnswersAreBroken(t *testing.T) {
 	cases := map[string]func(c net.Conn, n int){
 		"cut in the body": func(c net.Conn, _ int) {
@@ -126,12 +126,12 @@
 	for name, answer := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			s := startTarget(t, answer)
+			target := startTarget(t, answer)
 			p := &Pooler{}
 			defer p.Close()
-			_, outcome := send(t, p, s)
+			_, outcome := send(t, p, target)
 			is.Equal(outcome, Broken)
-			is.Equal(s.read.Load(), int32(1)) // the request is never sent again
+			is.Equal(target.read.Load(), int32(1)) // the request is never sent again
 			is.Equal(len(p.idle), 0)
 		})
 	}
@@ -142,7 +142,7 @@
 func TestUnexpectedAnswers(t *testing.T) {
 	t.Run("at once", func(t *testing.T) {
 		is := is.New(t)
-		s := startTarget(t, func(c net.Conn, n int) {
+		target := startTarget(t, func(c net.Conn, n int) {
 			write(c, completeAnswer)
 			if n == 1 {
 				write(c, completeAnswer)
@@ -150,16 +150,16 @@
 		})
 		p := &Pooler{}
 		defer p.Close()
-		_, outcome := send(t, p, s)
+		_, outcome := send(t, p, target)
 		is.Equal(outcome, Answered)
 		time.Sleep(20 * time.Millisecond)
-		_, outcome = send(t, p, s)
+		_, outcome = send(t, p, target)
 		is.Equal(outcome, Answered)
-		is.Equal(s.accepted.Load(), int32(2))
+		is.Equal(target.accepted.Load(), int32(2))
 	})
 	t.Run("late", func(t *testing.T) {
 		is := is.New(t)
-		s := startTarget(t, func(c net.Conn, n int) {
+		target := startTarget(t, func(c net.Conn, n int) {
 			if n == 2 {
 				write(c, "HTTP/1.1 200 OK\r\nId: former\r\nContent-Length: 5\r\n\r\nwrong")
 			}
@@ -167,9 +167,9 @@
 		})
 		p := &Pooler{}
 		defer p.Close()
-		_, outcome := send(t, p, s)
+		_, outcome := send(t, p, target)
 		is.Equal(outcome, Answered)
-		a, outcome := send(t, p, s)
+		a, outcome := send(t, p, target)
 		is.Equal(outcome, Answered)
 		is.Equal(string(a.Body), "body")
 	})
@@ -179,7 +179,7 @@
 // idempotent would have an unknown outcome.
 func TestClosedIdleConnectionIsNotReused(t *testing.T) {
 	is := is.New(t)
-	s := startTarget(t, func(c net.Conn, n int) {
+	target := startTarget(t, func(c net.Conn, n int) {
 		write(c, completeAnswer)
 		if n == 1 {
 			time.Sleep(10 * time.Millisecond)
@@ -188,12 +188,12 @@
 	})
 	p := &Pooler{}
 	defer p.Close()
-	_, outcome := send(t, p, s)
+	_, outcome := send(t, p, target)
 	is.Equal(outcome, Answered)
 	time.Sleep(50 * time.Millisecond)
-	_, outcome = send(t, p, s)
+	_, outcome = send(t, p, target)
 	is.Equal(outcome, Answered)
-	is.Equal(s.accepted.Load(), int32(2))
+	is.Equal(target.accepted.Load(), int32(2))
 }
 
 func TestRefusedConnectionIsUnsent(t *testing.T) {
@@ -210,12 +210,12 @@
 // The caller disconnects while the target executes the request. The connection is closed, so that the target stops.
 func TestCancelClosesTheConnection(t *testing.T) {
 	is := is.New(t)
-	s := startTarget(t, func(c net.Conn, _ int) { time.Sleep(5 * time.Second); write(c, completeAnswer) })
+	target := startTarget(t, func(c net.Conn, _ int) { time.Sleep(5 * time.Second); write(c, completeAnswer) })
 	ctx, cancel := context.WithCancel(context.Background())
 	time.AfterFunc(50*time.Millisecond, cancel)
 	started := time.Now()
 	p := &Pooler{}
-	_, outcome, _ := p.Send(ctx, s.address, request(""))
+	_, outcome, _ := p.Send(ctx, target.address, request(""))
 	is.Equal(outcome, Broken)
 	is.True(time.Since(started) < time.Second)
 	is.Equal(len(p.idle), 0)
