--- a/entry/internal/watcher/teller.go
+++ b/entry/internal/watcher/teller.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	// reportInterval is the minimum time between two report calls, so that many targets of a service that die at the
-	// same time do not keep the controllers from their other work.
+	// reportInterval is the minimum time between two report calls. It keeps the reports of many targets that die at the
+	// same time from delaying the controllers' other work.
 	reportInterval = 100 * time.Millisecond
 	// reportTimeout allows for a round trip between regions with one lost packet.
 	reportTimeout = time.Second
@@ -96,7 +96,7 @@
 	return losses, hosts
 }
 
-// signal requests a report call, without blocking.
+// signal requests a report call and does not block.
 func (t *reporter) signal() {
 	select {
 	case t.wake <- struct{}{}:
@@ -135,7 +135,8 @@
 	client := wireconnect.NewExchangeClient(w.client, w.Dialer.URL(*controller))
 	request := &wire.TellRequest{Node: w.describe(w.View() == nil), Losses: losses, Hosts: hosts}
 	if _, err := client.Tell(ctx, connect.NewRequest(request)); err != nil && w.ctx.Err() == nil {
-		_ = level.Warn(w.Logger).Log("msg", "controller not told", "controller", controller, "reports", len(losses), "err", err)
+		_ = level.Warn(w.Logger).Log("msg", "controller not told", "controller", controller,
+			"reports", len(losses), "err", err)
 		w.reporter.addLosses(losses...)
 		w.reporter.addHosts(hosts...)
 		w.reporter.signal()
--- a/entry/internal/watcher/view.go
+++ b/entry/internal/watcher/view.go
@@ -86,7 +86,8 @@
 	return out
 }
 
-// applyInstances updates the entry instances that share the targets, and reports whether the response had any.
+// applyInstances updates the entry instances that share the targets, and reports whether the response contained any
+// change of them.
 func (w *Watcher) applyInstances(r *wire.WatchResponse) bool {
 	if r.GetWhole() {
 		w.state.instances = map[string]*wire.Node{}
@@ -118,7 +119,8 @@
 	if !slices.Equal(s.evacuated, r.GetEvacuated()) {
 		w.markReturnedCold(now, r.GetEvacuated())
 		s.evacuated = r.GetEvacuated()
-		_ = level.Info(w.Logger).Log("msg", "evacuated zones", "zones", strings.Join(s.evacuated, ","), "revision", s.revision)
+		_ = level.Info(w.Logger).Log("msg", "evacuated zones", "zones", strings.Join(s.evacuated, ","),
+			"revision", s.revision)
 	}
 	return true
 }
@@ -137,9 +139,9 @@
 	}
 }
 
-// maxLoggedTargets is up to how many targets of one response are logged one by one. A full response would otherwise
-// cause a line for each target at each entry instance; the controllers log every target that announces itself or
-// leaves.
+// maxLoggedTargets is the largest number of targets in a response that are logged one by one. A full response would
+// otherwise cause a line for each target at each entry instance; the controllers log every target that announces itself
+// or leaves.
 const maxLoggedTargets = 8
 
 // applyRecords merges the announcements of targets, and reports whether any of them was newer.
@@ -219,7 +221,8 @@
 		}
 		address, err := netip.ParseAddrPort(n.GetPeer())
 		if err != nil {
-			_ = level.Debug(w.Logger).Log("msg", "entry instance has no valid peer address", "peer", n.GetName(), "err", err)
+			_ = level.Debug(w.Logger).Log("msg", "entry instance has no valid peer address",
+				"peer", n.GetName(), "err", err)
 			continue
 		}
 		out = append(out, locator.Peer{Name: n.GetName(), Address: address})
@@ -228,8 +231,9 @@
 	return out
 }
 
-// A cold target may receive up to coldOvershoot times its rate plus coldAllowance requests in a second. Two entry
-// instances may both consider a cold target their own until they have learnt of each other, so each uses at most half.
+// coldOvershoot and coldAllowance limit the requests to a cold target: it may receive up to coldOvershoot times its
+// rate plus coldAllowance in a second. Two entry instances may both consider a cold target their own until they have
+// learnt of each other, so each uses at most half.
 const (
 	coldOvershoot = 1.5
 	coldAllowance = 5
--- a/entry/internal/watcher/watcher.go
+++ b/entry/internal/watcher/watcher.go
@@ -40,7 +40,8 @@
 type Watcher struct {
 	// Instance describes this entry instance; Start sets its incarnation.
 	Instance *wire.Node
-	// Seeds are the controllers to call first, and when no known one answers.
+	// Seeds are the controllers to call first. Later they are candidates for a fail-over, as are those that responses
+	// name.
 	Seeds  []netip.AddrPort
 	Dialer *dialer.Dialer
 	Logger log.Logger
@@ -54,7 +55,8 @@
 	// OnView is called with every new view, by the goroutine that owns the control state.
 	OnView func(v *View)
 
-	view     atomic.Pointer[View]
+	view atomic.Pointer[View]
+	// mu guards Seeds and readings.
 	mu       sync.Mutex
 	reporter reporter
 	// readings holds the loads that targets reported to this instance since the last Watch call.
@@ -71,9 +73,9 @@
 type state struct {
 	controller  netip.AddrPort
 	controllers []netip.AddrPort
-	// near are the controllers of this region that the present one has lately reached.
+	// near are the controllers of this region that the present controller has lately reached.
 	near []netip.AddrPort
-	// polled is set after the first successful Watch call.
+	// polled is set once a Watch call has succeeded.
 	polled bool
 	// run, counter, hosted and loaded are the position in the present controller's changes, as of its last response.
 	run       uint64
@@ -144,7 +146,7 @@
 	return *controller, true
 }
 
-// SetSeeds replaces the controllers to call when none of the known ones answers.
+// SetSeeds replaces the seeds; the new ones are used from the next fail-over.
 func (w *Watcher) SetSeeds(seeds []netip.AddrPort) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -208,7 +210,7 @@
 func (w *Watcher) request() *wire.WatchRequest {
 	s := &w.state
 	out := &wire.WatchRequest{
-		// Without a plan this instance would refuse every caller that a look-up sends here.
+		// Without a plan this instance would refuse the callers that look-ups send here.
 		Node: w.describe(s.plan == nil), Run: s.run, Counter: s.counter, Revision: s.revision, First: !s.polled,
 		Hosted: s.hosted, Loaded: s.loaded, Loads: w.takeReadings(),
 	}
@@ -231,12 +233,13 @@
 	return gauger.Encode(w.readings.Take())
 }
 
-// describe returns this instance's description for the controllers. Without a plan it is reported as leaving, so that
-// it shares no work, and as starting unless it stops.
+// describe returns this instance's description for the controllers. An instance without a plan is reported as leaving,
+// so that no work is shared with it, and, unless it stops, as starting: look-ups then name it only while fewer
+// instances are ready than starting.
 func (w *Watcher) describe(withoutPlan bool) *wire.Node {
 	return &wire.Node{
-		Name: w.Instance.GetName(), Incarnation: w.Instance.GetIncarnation(), Caller: w.Instance.GetCaller(), Peer: w.Instance.GetPeer(),
-		Region: w.Instance.GetRegion(), Zone: w.Instance.GetZone(), Leaving: withoutPlan || w.reporter.leaving.Load(),
+		Name: w.Instance.GetName(), Incarnation: w.Instance.GetIncarnation(), Caller: w.Instance.GetCaller(),
+		Peer: w.Instance.GetPeer(), Region: w.Instance.GetRegion(), Zone: w.Instance.GetZone(), Leaving: withoutPlan || w.reporter.leaving.Load(),
 		Starting: withoutPlan && !w.reporter.leaving.Load(),
 	}
 }
@@ -267,13 +270,15 @@
 }
 
 // eligible returns the controllers of the list that have not failed lately.
-func (w *Watcher) eligible(now time.Time, list []netip.AddrPort) []netip.AddrPort {
-	return slices.DeleteFunc(slices.Clone(list), func(a netip.AddrPort) bool { return now.Before(w.state.avoidUntil[a]) })
+func (w *Watcher) eligible(now time.Time, controllers []netip.AddrPort) []netip.AddrPort {
+	return slices.DeleteFunc(slices.Clone(controllers), func(a netip.AddrPort) bool {
+		return now.Before(w.state.avoidUntil[a])
+	})
 }
 
 // switchTo selects one of the controllers at random. The counters of the former one do not apply to it and are reset.
-func (w *Watcher) switchTo(list []netip.AddrPort) {
-	w.state.controller = list[rand.IntN(len(list))]
+func (w *Watcher) switchTo(controllers []netip.AddrPort) {
+	w.state.controller = controllers[rand.IntN(len(controllers))]
 	w.state.run, w.state.counter, w.state.hosted, w.state.loaded = 0, 0, 0, 0
 }
 
--- a/entry/internal/watcher/watcher_test.go
+++ b/entry/internal/watcher/watcher_test.go
@@ -217,8 +217,8 @@
 	is.Equal(spec.OwnSlots, int32(3))
 }
 
-// An instance has just started and has no plan. It reports itself as leaving; if look-ups named it, it would refuse
-// every caller that they send to it.
+// An instance has just started and has no plan. It must report itself as leaving: it would refuse the callers that
+// look-ups send to it.
 func TestInstanceWithoutAPlanReportsLeaving(t *testing.T) {
 	is := is.New(t)
 	c, address := startController(t, answer(5, 3, true))
