--- a/entry/internal/cli/cli.go
+++ b/entry/internal/cli/cli.go
@@ -89,14 +89,14 @@
 	return p.kernel().Run(ctx)
 }
 
-// program holds the services of an entry instance that works by a catalogue.
+// program holds the services of an entry instance that uses a catalogue.
 type program struct {
 	settings    *config.Config
 	path        string
 	logger      log.Logger
 	closeLog    func()
 	registry    *prometheus.Registry
-	control     *securer.Keys
+	controlKeys *securer.Keys
 	requester   *requester.Requester
 	directory   *directory.Directory
 	broadcaster *broadcaster.Broadcaster
@@ -112,8 +112,8 @@
 		Program:  "entry",
 		Instance: settings.Name,
 	}, p.registry)
-	p.control = &securer.Keys{Files: settings.ControlKeys}
-	controlDialer := &dialer.Dialer{Keys: p.control}
+	p.controlKeys = &securer.Keys{Files: settings.ControlKeys}
+	controlDialer := &dialer.Dialer{Keys: p.controlKeys}
 	p.requester = &requester.Requester{Dialer: controlDialer, Controllers: settings.Controllers}
 	p.broadcaster = &broadcaster.Broadcaster{
 		Instance:   settings.Name,
@@ -185,7 +185,7 @@
 	l := &listener.Listener{Title: title, Handler: handler, Logger: p.logger}
 	switch title {
 	case "peer":
-		l.Address, l.Keys = p.settings.Peer, p.control
+		l.Address, l.Keys = p.settings.Peer, p.controlKeys
 	case "operator":
 		l.Address, l.Keys = p.settings.Operator, &securer.Keys{Files: p.settings.OperatorKeys}
 	case "target":
--- a/entry/internal/cli/leaver.go
+++ b/entry/internal/cli/leaver.go
@@ -17,8 +17,8 @@
 // Callers keep the answers to look-ups for a while and connections for longer, so closing at once would cut off
 // requests that are just being sent.
 type leaver struct {
-	watcher    *watcher.Watcher
-	dispatcher *carrier.Carrier
+	watcher *watcher.Watcher
+	carrier *carrier.Carrier
 	// serveTime is how long requests are still served after the instance has reported that it leaves.
 	serveTime time.Duration
 	logger    log.Logger
@@ -31,7 +31,7 @@
 // Start implements kernel.Service.
 func (l *leaver) Start(context.Context, kernel.Finder) error { return nil }
 
-// Health implements kernel.Service. It returns a dispatcher.StoppingError once the instance leaves.
+// Health implements kernel.Service. It returns a *carrier.StoppingError once the instance leaves.
 func (l *leaver) Health() error {
 	if l.leaving.Load() {
 		return &carrier.StoppingError{}
@@ -43,7 +43,7 @@
 // elsewhere. It returns after serveTime, or when ctx ends.
 func (l *leaver) Stop(ctx context.Context) error {
 	l.leaving.Store(true)
-	l.dispatcher.CloseConnections()
+	l.carrier.CloseConnections()
 	l.watcher.Leave()
 	_ = level.Info(l.logger).Log("msg", "leaving", "serve", l.serveTime)
 	select {
--- a/entry/internal/cli/plan.go
+++ b/entry/internal/cli/plan.go
@@ -39,16 +39,16 @@
 
 // planProgram holds the services of an entry instance that routes by a plan.
 type planProgram struct {
-	settings   *config.Config
-	path       string
-	logger     log.Logger
-	closeLog   func()
-	registry   *prometheus.Registry
-	watcher    *watcher.Watcher
-	dispatcher *carrier.Carrier
-	locator    *locator.Locator
-	enforcer   *enforcer.Enforcer
-	leaver     *leaver
+	settings *config.Config
+	path     string
+	logger   log.Logger
+	closeLog func()
+	registry *prometheus.Registry
+	watcher  *watcher.Watcher
+	carrier  *carrier.Carrier
+	locator  *locator.Locator
+	enforcer *enforcer.Enforcer
+	leaver   *leaver
 }
 
 func newPlanProgram(path string, settings *config.Config) *planProgram {
@@ -59,35 +59,36 @@
 	quarantine := &quarantiner.Quarantiner{Confirm: confirmedLosses}
 	p.watcher = &watcher.Watcher{
 		Instance: &wire.Node{
-			Name: settings.Name, Caller: settings.Caller.String(), Peer: settings.Peer.String(), Region: settings.Region, Zone: settings.Zone,
+			Name: settings.Name, Caller: settings.Caller.String(), Peer: settings.Peer.String(),
+			Region: settings.Region, Zone: settings.Zone,
 		},
 		Seeds:    settings.Seeds,
 		Dialer:   &dialer.Dialer{Plain: true},
 		Logger:   p.logger,
 		OnLosses: func(losses []*wire.Loss) { applyLosses(quarantine, losses) },
 	}
-	p.dispatcher = &carrier.Carrier{
+	p.carrier = &carrier.Carrier{
 		Self: settings.Name, Region: settings.Region, Zone: settings.Zone, Codec: translator.Codec{}, Views: p.watcher,
 		Sender: &pooler.Pooler{}, Quarantine: quarantine, Logger: p.logger, Metrics: carrier.NewMetrics(p.registry),
 	}
 	p.locator = &locator.Locator{
-		Self: settings.Name, Dialer: &dialer.Dialer{Plain: true}, Assigner: p.dispatcher, Logger: p.logger,
+		Self: settings.Name, Dialer: &dialer.Dialer{Plain: true}, Assigner: p.carrier, Logger: p.logger,
 	}
 	p.enforcer = &enforcer.Enforcer{
 		Self:        &wire.QuotaHolder{Name: settings.Name, Incarnation: rand.Uint64()},
 		Controllers: p.watcher, Peers: p.locator, Dialer: &dialer.Dialer{Plain: true}, Logger: p.logger,
 	}
 	p.locator.Spender = p.enforcer
-	p.dispatcher.Locator, p.dispatcher.Quotas = p.locator, p.enforcer
-	p.watcher.OnView, p.watcher.OnHosts, p.watcher.OnLoads = p.applyView, p.dispatcher.UpdateHosts, p.dispatcher.UpdateLoads
-	p.leaver = &leaver{watcher: p.watcher, dispatcher: p.dispatcher, serveTime: settings.AnswerMaxAge, logger: p.logger}
+	p.carrier.Locator, p.carrier.Quotas = p.locator, p.enforcer
+	p.watcher.OnView, p.watcher.OnHosts, p.watcher.OnLoads = p.applyView, p.carrier.UpdateHosts, p.carrier.UpdateLoads
+	p.leaver = &leaver{watcher: p.watcher, carrier: p.carrier, serveTime: settings.AnswerMaxAge, logger: p.logger}
 	return p
 }
 
 // applyView puts a new view into force.
 func (p *planProgram) applyView(v *watcher.View) {
 	p.enforcer.Update(time.Now(), v)
-	p.dispatcher.ApplyView(v)
+	p.carrier.ApplyView(v)
 }
 
 // applyLosses records losses and successes that other entry instances reported as if they had been observed here.
@@ -104,7 +105,7 @@
 	}
 }
 
-// run sets the memory limit and runs all services until ctx ends or one fails.
+// run sets the runtime's memory limit and runs all services until ctx ends or one of them fails.
 func (p *planProgram) run(ctx context.Context) error {
 	if p.settings.MemoryLimit > 0 {
 		debug.SetMemoryLimit(int64(float64(p.settings.MemoryLimit) * memoryShare))
@@ -124,12 +125,12 @@
 	s := p.settings
 	k.Services = []kernel.Service{
 		&reloader.Reloader{Load: p.reload, Logger: p.logger},
-		p.dispatcher,
+		p.carrier,
 		p.locator,
 		p.enforcer,
 		p.watcher,
 		&listener.Listener{Title: "operator", Address: s.Operator, Handler: operator, Logger: p.logger},
-		&listener.Listener{Title: "caller", Address: s.Caller, Handler: p.dispatcher, Logger: p.logger},
+		&listener.Listener{Title: "caller", Address: s.Caller, Handler: p.carrier, Logger: p.logger},
 		&listener.Listener{Title: "ready", Address: s.Ready, Handler: translator.Ready{Check: p.ready}, Logger: p.logger},
 		p.leaver,
 	}
