--- a/entry/internal/pooler/pending_test.go
+++ b/entry/internal/pooler/pending_test.go
@@ -22,16 +22,16 @@
 // startCuttableTarget starts a target that calls answer for the n-th request on a connection.
 func startCuttableTarget(t *testing.T, answer func(c net.Conn, n int)) *cuttableTarget {
 	t.Helper()
-	target := &cuttableTarget{}
-	target.fakeTarget = startTarget(t, func(c net.Conn, n int) {
+	k := &cuttableTarget{}
+	k.fakeTarget = startTarget(t, func(c net.Conn, n int) {
 		if socket, ok := c.(*net.TCPConn); ok && n == 1 {
-			target.mu.Lock()
-			target.open = append(target.open, socket)
-			target.mu.Unlock()
+			k.mu.Lock()
+			k.open = append(k.open, socket)
+			k.mu.Unlock()
 		}
 		answer(c, n)
 	})
-	return target
+	return k
 }
 
 // setCut makes the kernel drop, or accept again, all packets that arrive on the target's connections opened so far.
@@ -75,45 +75,42 @@
 // Guards against requests that reach a target long after it was withdrawn, when a network partition ends.
 func TestUndeliveredRequestIsCancelled(t *testing.T) {
 	is := is.New(t)
-	target := startCuttableTarget(t, func(c net.Conn, _ int) { write(c, completeAnswer) })
+	k := startCuttableTarget(t, func(c net.Conn, _ int) { write(c, completeAnswer) })
 	p := &Pooler{}
 	defer p.Close()
-	_, outcome := send(t, p, target.fakeTarget)
+	_, outcome := send(t, p, k.fakeTarget)
 	is.Equal(outcome, Answered)
-	target.setCut(t, true)
-	outcomes := sendAsync(t, p, target.address)
+	k.setCut(t, true)
+	outcomes := sendAsync(t, p, k.address)
 	time.Sleep(settleTime)
 	cancelledAt := time.Now()
-	is.Equal(p.CancelUndelivered(target.address, cancelledAt), 1)
+	is.Equal(p.CancelUndelivered(k.address, cancelledAt), 1)
 	is.Equal(<-outcomes, Broken)
 	is.True(time.Since(cancelledAt) < time.Second) // long before its deadline
-	target.setCut(t, false)
+	k.setCut(t, false)
 	time.Sleep(3 * settleTime)
-	is.Equal(target.read.Load(), int32(1))
-	is.Equal(p.CancelUndelivered(target.address, time.Now()), 0)
+	is.Equal(k.read.Load(), int32(1))
+	is.Equal(p.CancelUndelivered(k.address, time.Now()), 0)
 }
 
 // Guards against cancelling requests that a target is executing, or that are too new to tell whether they were
 // delivered.
 func TestDeliveredOrNewRequestsAreNotCancelled(t *testing.T) {
 	is := is.New(t)
-	target := startCuttableTarget(t, func(c net.Conn, n int) {
-		time.Sleep(time.Duration(n-1) * 2 * settleTime)
-		write(c, completeAnswer)
-	})
+	k := startCuttableTarget(t, func(c net.Conn, n int) { time.Sleep(time.Duration(n-1) * 2 * settleTime); write(c, completeAnswer) })
 	p := &Pooler{}
 	defer p.Close()
-	_, outcome := send(t, p, target.fakeTarget)
+	_, outcome := send(t, p, k.fakeTarget)
 	is.Equal(outcome, Answered)
 	cutoff := time.Now()
-	outcomes := sendAsync(t, p, target.address)
+	outcomes := sendAsync(t, p, k.address)
 	time.Sleep(settleTime)
-	is.Equal(p.CancelUndelivered(target.address, time.Now()), 0)
+	is.Equal(p.CancelUndelivered(k.address, time.Now()), 0)
 	is.Equal(<-outcomes, Answered)
-	target.setCut(t, true)
-	outcomes = sendAsync(t, p, target.address)
+	k.setCut(t, true)
+	outcomes = sendAsync(t, p, k.address)
 	time.Sleep(settleTime)
-	is.Equal(p.CancelUndelivered(target.address, cutoff), 0)
-	target.setCut(t, false)
+	is.Equal(p.CancelUndelivered(k.address, cutoff), 0)
+	k.setCut(t, false)
 	is.Equal(<-outcomes, Answered)
 }
