--- a/entry/internal/carrier/carrier_test.go
+++ b/entry/internal/carrier/carrier_test.go
@@ -246,7 +246,7 @@
 // The caller disconnects. An idempotent request is cancelled at once; any other continues, because cancelled halfway it
 // would leave a booking in doubt.
 func TestCallerDisconnects(t *testing.T) {
-	for path, cancelled := range map[string]bool{"/safe/1": true, "/once/1": false} {
+	for path, cancelsAttempt := range map[string]bool{"/safe/1": true, "/once/1": false} {
 		t.Run(path, func(t *testing.T) {
 			is := is.New(t)
 			c, s := startCarrier(t, scriptedAttempt{hang: true})
@@ -257,7 +257,7 @@
 			time.AfterFunc(30*time.Millisecond, cancel)
 			started := time.Now()
 			c.ServeHTTP(httptest.NewRecorder(), r)
-			is.Equal(time.Since(started) < 200*time.Millisecond, cancelled)
+			is.Equal(time.Since(started) < 200*time.Millisecond, cancelsAttempt)
 			is.Equal(s.cancelled, 1)
 		})
 	}
