--- a/core/shifter/shifter_test.go
+++ b/core/shifter/shifter_test.go
@@ -13,7 +13,7 @@
 	return Measurement{At: at, Answers: 100, NewLatency: 20 * time.Millisecond, OldLatency: 10 * time.Millisecond}
 }
 
-func TestStages(t *testing.T) {
+func TestRampMovesThroughStages(t *testing.T) {
 	r := Ramp{FinalPercent: 50, Stages: 5}
 	now := start
 	t.Run("starts with the first stage", func(t *testing.T) {
