--- a/entry/internal/carrier/answer.go
+++ b/entry/internal/carrier/answer.go
@@ -18,15 +18,15 @@
 	status int
 	// answer is the target's answer; nil if this instance answers itself.
 	answer *pooler.Answer
-	// retry is when a refused caller should retry; zero omits the Retry-After header.
-	retry  time.Time
-	reason string
+	// retryAt is when a refused caller should retry; zero omits the Retry-After header.
+	retryAt time.Time
+	reason  string
 	// disconnected is set if the caller closed the connection, so that no answer can be written.
 	disconnected bool
 }
 
-func refuse(status int, reason string, retry time.Time) result {
-	return result{status: status, reason: reason, retry: retry}
+func refuse(status int, reason string, retryAt time.Time) result {
+	return result{status: status, reason: reason, retryAt: retryAt}
 }
 
 func callerDisconnected() result { return result{reason: "gone", disconnected: true} }
@@ -58,8 +58,8 @@
 }
 
 func writeRefusal(w http.ResponseWriter, out result) {
-	if !out.retry.IsZero() {
-		remaining := max(0, time.Until(out.retry).Seconds())
+	if !out.retryAt.IsZero() {
+		remaining := max(0, time.Until(out.retryAt).Seconds())
 		w.Header().Set("Retry-After", fmt.Sprintf("%.3f", remaining))
 	}
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
--- a/entry/internal/carrier/carrier_test.go
+++ b/entry/internal/carrier/carrier_test.go
@@ -233,7 +233,7 @@
 }
 
 // A target does not answer in time. The caller gets the final answer shortly after the route's time-out.
-func TestTimeout(t *testing.T) {
+func TestSlowTargetTimesOut(t *testing.T) {
 	is := is.New(t)
 	c, s := startCarrier(t, scriptedAttempt{hang: true})
 	started := time.Now()
@@ -313,7 +313,7 @@
 }
 
 // While an instance is stopping, requests are still served, and each answer closes its caller's connection.
-func TestStopping(t *testing.T) {
+func TestStoppingClosesCallerConnections(t *testing.T) {
 	is := is.New(t)
 	c, _ := startCarrier(t, signedAnswer(200))
 	c.CloseConnections()
--- a/entry/internal/carrier/gate.go
+++ b/entry/internal/carrier/gate.go
@@ -36,7 +36,8 @@
 }
 
 // confirmationTTL is how long the answer of the instance that assigns an object is cached once the object is warm. Each
-// lookup costs traffic between availability zones; an object that moved meanwhile is still warm at its old target, too.
+// call to it costs traffic between availability zones; an object that moved meanwhile is still warm at its old target,
+// too.
 const confirmationTTL = 3 * time.Second
 
 // maxHints limits the hints. Without a hint, an instance that takes over the assignment of an object may place it anew.
@@ -121,7 +122,7 @@
 }
 
 // applyView updates the service's targets and peers to a view; self is the index of this instance among the peers. It
-// returns the targets that were withdrawn with requests still in flight.
+// returns the targets that left the view or restarted with requests still in flight.
 func (g *serviceState) applyView(
 	now time.Time, specs []placer.Spec, v *watcher.View, objectLocator Locator, self int,
 ) []placer.Spec {
@@ -197,8 +198,8 @@
 	g.budget.Ask(now)
 }
 
-// spendRetry charges one retry to the service's retry budget, which is shared by the given number of entry instances;
-// false if the budget does not allow it.
+// spendRetry charges one retry to the service's retry budget; instances is the number of entry instances that share the
+// budget's slack. It returns false if the budget does not allow the retry.
 func (g *serviceState) spendRetry(now time.Time, instances int) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/entry/internal/carrier/job.go
+++ b/entry/internal/carrier/job.go
@@ -51,7 +51,7 @@
 	queueTime time.Duration
 	// object names the object of the request; empty if it has none that targets keep warm.
 	object string
-	// place is where the request's object is kept warm; locateTime is how long the lookup took.
+	// place is where the request's object is kept warm; locateTime is how long it took to find out.
 	place      placer.Assignment
 	locateTime time.Duration
 }
--- a/entry/internal/carrier/organisation.go
+++ b/entry/internal/carrier/organisation.go
@@ -57,11 +57,11 @@
 	_ = level.Info(c.Logger).Log("msg", "quota", "id", j.call.ID, "organisation", name, "outcome", j.quota.Outcome,
 		"rate", j.organisation.GetRate(), "burst", j.organisation.GetBurst(), "held", j.quota.Held, "used", j.quota.Used,
 		"age", j.quota.Age(time.Now()), "peer", j.quota.Peer)
-	status, retry := http.StatusTooManyRequests, j.quota.RetryAt
+	status, retryAt := http.StatusTooManyRequests, j.quota.RetryAt
 	if j.quota.Outcome != quoter.Exceeded {
-		status, retry = http.StatusServiceUnavailable, time.Now().Add(quotaRetryDelay)
+		status, retryAt = http.StatusServiceUnavailable, time.Now().Add(quotaRetryDelay)
 	}
-	out := refuse(status, "quota", retry.Add(rand.N(quotaRetryJitter)))
+	out := refuse(status, "quota", retryAt.Add(rand.N(quotaRetryJitter)))
 	return &out
 }
 
--- a/entry/internal/carrier/organisation_test.go
+++ b/entry/internal/carrier/organisation_test.go
@@ -74,7 +74,7 @@
 func key(text string) http.Header { return http.Header{translator.HeaderSecret: {text}} }
 
 // Guards against requests that are served without the key of an organisation, and against valid keys that are refused.
-func TestKeys(t *testing.T) {
+func TestKeysIdentifyOrganisations(t *testing.T) {
 	cases := []struct {
 		name         string
 		path         string
@@ -129,7 +129,7 @@
 
 // Guards against requests that are served outside the regions of their organisation or route, also if no region is in
 // both.
-func TestRegionsOfAnOrganisation(t *testing.T) {
+func TestRequestsStayInTheirRegions(t *testing.T) {
 	is := is.New(t)
 	c, s := startCarrier(t, signedAnswer(200))
 	requireKeys(c, &fakeQuotas{})
@@ -174,7 +174,7 @@
 
 // Guards against quota that is spent by requests which were not executed, and against refusals without a Retry-After
 // header.
-func TestQuotas(t *testing.T) {
+func TestQuotaVerdicts(t *testing.T) {
 	later := time.Now().Add(time.Second)
 	cases := []struct {
 		name     string
--- a/entry/internal/carrier/withdrawal.go
+++ b/entry/internal/carrier/withdrawal.go
@@ -26,7 +26,7 @@
 	list []withdrawal
 }
 
-// withdrawal is a target that is no longer in the view; due is when its undelivered requests are cancelled.
+// withdrawal is a target that left the view or restarted; due is when its undelivered requests are cancelled.
 type withdrawal struct {
 	placer.Spec
 	due time.Time
