--- a/entry/internal/pooler/pooler_test.go
+++ b/entry/internal/pooler/pooler_test.go
@@ -139,7 +139,7 @@
 
 // A target answers a request twice. The second answer must not be taken for the answer to the next request on the
 // connection.
-func TestUnexpectedAnswers(t *testing.T) {
+func TestUnexpectedAnswersAreNotReturned(t *testing.T) {
 	t.Run("at once", func(t *testing.T) {
 		is := is.New(t)
 		target := startTarget(t, func(c net.Conn, n int) {
