--- a/entry/internal/watcher/watcher.go
+++ b/entry/internal/watcher/watcher.go
@@ -239,7 +239,8 @@
 func (w *Watcher) describe(withoutPlan bool) *wire.Node {
 	return &wire.Node{
 		Name: w.Instance.GetName(), Incarnation: w.Instance.GetIncarnation(), Caller: w.Instance.GetCaller(),
-		Peer: w.Instance.GetPeer(), Region: w.Instance.GetRegion(), Zone: w.Instance.GetZone(), Leaving: withoutPlan || w.reporter.leaving.Load(),
+		Peer: w.Instance.GetPeer(), Region: w.Instance.GetRegion(), Zone: w.Instance.GetZone(),
+		Leaving:  withoutPlan || w.reporter.leaving.Load(),
 		Starting: withoutPlan && !w.reporter.leaving.Load(),
 	}
 }
