--- a/core/shifter/shifter_test.go
+++ b/core/shifter/shifter_test.go
@@ -13,7 +13,7 @@
 	return Measurement{At: at, Answers: 100, NewLatency: 20 * time.Millisecond, OldLatency: 10 * time.Millisecond}
 }
 
-func TestStages(t *testing.T) {
+func TestRampMovesThroughStages(t *testing.T) {
 	r := Ramp{FinalPercent: 50, Stages: 5}
 	now := start
 	t.Run("starts with the first stage", func(t *testing.T) {
@@ -47,8 +47,8 @@
 	})
 }
 
-// Measurements stop in the middle of a move. Without them, the next stage could overload cold caches, and the previous
-// one would move all the traffic again for no reason.
+// Measurements stop in the middle of a move. Without them, the next stage could overload cold caches, and going back
+// would move all the traffic again for no reason.
 func TestStaleMeasurementChangesNothing(t *testing.T) {
 	is := is.New(t)
 	r := Ramp{FinalPercent: 100, Stages: 4}
--- a/entry/internal/carrier/gate.go
+++ b/entry/internal/carrier/gate.go
@@ -36,7 +36,8 @@
 }
 
 // confirmationTTL is how long the answer of the instance that assigns an object is cached once the object is warm. Each
-// lookup costs traffic between availability zones; an object that moved meanwhile is still warm at its old target, too.
+// call to it costs traffic between availability zones; an object that moved meanwhile is still warm at its old target,
+// too.
 const confirmationTTL = 3 * time.Second
 
 // maxHints limits the hints. Without a hint, an instance that takes over the assignment of an object may place it anew.
@@ -88,14 +89,14 @@
 	return placer.Assignment{Target: found.target, Reason: "recent"}, true
 }
 
-// updateHost takes an object's place as published by the controllers.
+// updateHost records an object's place as published by the controllers.
 func (g *serviceState) updateHost(now time.Time, h *wire.Host) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.placement.RecordAssignment(now, h.GetObject(), h.GetTarget(), h.GetRoute(), h.GetVersion())
 }
 
-// updateLoads takes the loads of targets as published by the controllers.
+// updateLoads records the loads of targets as published by the controllers.
 func (g *serviceState) updateLoads(now time.Time, loads []gauger.Reading) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -120,14 +121,17 @@
 	return &serviceState{placement: placer.Placer{Region: region, Zone: zone, InterRegionRTT: regionRoundTrip}}
 }
 
-// applyView updates the service to a view. It returns the targets that were withdrawn with requests still in flight.
-func (g *serviceState) applyView(now time.Time, specs []placer.Spec, v *watcher.View, peers Locator, self int) []placer.Spec {
+// applyView updates the service's targets and peers to a view; self is the index of this instance among the peers. It
+// returns the targets that left the view or restarted with requests still in flight.
+func (g *serviceState) applyView(
+	now time.Time, specs []placer.Spec, v *watcher.View, objectLocator Locator, self int,
+) []placer.Spec {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	withdrawn := g.placement.Update(now, specs, v.InstanceCount)
 	if g.peers == nil || !slices.Equal(g.peers, v.Peers) {
 		g.peers = v.Peers
-		g.placement.SetOwnership(func(object uint64) bool { return peers.Owns(v.Peers, object) }, self, len(v.Peers))
+		g.placement.SetOwnership(func(object uint64) bool { return objectLocator.Owns(v.Peers, object) }, self, len(v.Peers))
 	}
 	deliverDecisions(g.placement.Tick(now))
 	return withdrawn
@@ -194,9 +198,10 @@
 	g.budget.RecordRequest(now)
 }
 
-// spendRetry charges one retry to the service's retry budget; false if the budget does not allow it.
-func (g *serviceState) spendRetry(now time.Time, entries int) bool {
+// spendRetry charges one retry to the service's retry budget; instances is the number of entry instances that share the
+// budget's slack. It returns false if the budget does not allow the retry.
+func (g *serviceState) spendRetry(now time.Time, instances int) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.budget.Spend(now, entries)
+	return g.budget.Spend(now, instances)
 }
--- a/entry/internal/carrier/organisation.go
+++ b/entry/internal/carrier/organisation.go
@@ -57,11 +57,11 @@
 	_ = level.Info(c.Logger).Log("msg", "quota", "id", j.call.ID, "organisation", name, "outcome", j.quota.Outcome,
 		"rate", j.organisation.GetRate(), "burst", j.organisation.GetBurst(), "held", j.quota.Held, "used", j.quota.Used,
 		"age", j.quota.Age(time.Now()), "peer", j.quota.Peer)
-	status, retry := http.StatusTooManyRequests, j.quota.RetryAt
+	status, retryAt := http.StatusTooManyRequests, j.quota.RetryAt
 	if j.quota.Outcome != quoter.Exceeded {
-		status, retry = http.StatusServiceUnavailable, time.Now().Add(quotaRetryDelay)
+		status, retryAt = http.StatusServiceUnavailable, time.Now().Add(quotaRetryDelay)
 	}
-	out := refuse(status, "quota", retry.Add(rand.N(quotaRetryJitter)))
+	out := refuse(status, "quota", retryAt.Add(rand.N(quotaRetryJitter)))
 	return &out
 }
 
@@ -73,9 +73,9 @@
 	return j.route.GetName() + "/" + j.call.Key
 }
 
-// regionBoundName returns a second name of the object for organisations that are bound to regions. If the object's place
-// lies outside those regions, the second name has a place inside them: a shared place would move back and forth with each
-// request.
+// regionBoundName returns a second name of the object for organisations that are bound to regions. If the object's
+// place lies outside those regions, the second name has a place inside them: a shared place would move back and forth
+// with each request.
 func (j *job) regionBoundName(object string) string {
 	return object + "@" + strings.Join(j.organisation.GetRegions(), ",")
 }
--- a/entry/internal/pooler/pending_test.go
+++ b/entry/internal/pooler/pending_test.go
@@ -93,7 +93,8 @@
 	is.Equal(p.CancelUndelivered(k.address, time.Now()), 0)
 }
 
-// Guards against cancelling requests that a target is executing, or that are too new to tell whether they were delivered.
+// Guards against cancelling requests that a target is executing, or that are too new to tell whether they were
+// delivered.
 func TestDeliveredOrNewRequestsAreNotCancelled(t *testing.T) {
 	is := is.New(t)
 	k := startCuttableTarget(t, func(c net.Conn, n int) { time.Sleep(time.Duration(n-1) * 2 * settleTime); write(c, completeAnswer) })
