--- a/entry/internal/broadcaster/broadcaster.go
+++ b/entry/internal/broadcaster/broadcaster.go
@@ -94,8 +94,8 @@
 // Health implements kernel.Service.
 func (s *Broadcaster) Health() error { return nil }
 
-// Spread queues announcements for the other instances; only the newest one of each target is sent.
-func (s *Broadcaster) Spread(records []*wire.Record) {
+// BroadcastRecords queues announcements for the other instances; only the newest one of each target is sent.
+func (s *Broadcaster) BroadcastRecords(records []*wire.Record) {
 	s.mu.Lock()
 	for _, r := range records {
 		s.records[r.GetName()] = r
--- a/entry/internal/cli/cli.go
+++ b/entry/internal/cli/cli.go
@@ -129,7 +129,7 @@
 		Peer:              settings.Peer,
 		HeartbeatInterval: settings.RenewInterval,
 		Renewer:           p.requester,
-		Spreader:          p.broadcaster,
+		RecordBroadcaster: p.broadcaster,
 		Logger:            p.logger,
 	}
 	p.broadcaster.Register = p.directory
--- a/entry/internal/directory/directory.go
+++ b/entry/internal/directory/directory.go
@@ -35,9 +35,9 @@
 	Renew(ctx context.Context, r *wire.RenewRequest) (*wire.RenewResponse, error)
 }
 
-// Spreader sends new announcements to the other entry instances.
-type Spreader interface {
-	Spread(records []*wire.Record)
+// RecordBroadcaster sends new announcements to the other entry instances.
+type RecordBroadcaster interface {
+	BroadcastRecords(records []*wire.Record)
 }
 
 // Directory is the control service. Set the exported fields before Start.
@@ -52,7 +52,7 @@
 	// HeartbeatInterval is the time between two heartbeats, unless one is requested earlier.
 	HeartbeatInterval time.Duration
 	Renewer           Renewer
-	Spreader          Spreader
+	RecordBroadcaster RecordBroadcaster
 	Logger            log.Logger
 
 	// Holder holds this instance's shares of limits; requests take from it.
--- a/entry/internal/directory/directory_test.go
+++ b/entry/internal/directory/directory_test.go
@@ -52,13 +52,13 @@
 	}, nil
 }
 
-func (s *fakeController) Spread([]*wire.Record) {}
+func (s *fakeController) BroadcastRecords([]*wire.Record) {}
 
 func startDirectory(t *testing.T, s *fakeController) *Directory {
 	t.Helper()
 	d := &Directory{
 		Instance: "e1", Region: "almaty", Zone: "almaty-a", HeartbeatInterval: 20 * time.Millisecond,
-		Renewer: s, Spreader: s, Logger: log.NewNopLogger(),
+		Renewer: s, RecordBroadcaster: s, Logger: log.NewNopLogger(),
 	}
 	is.New(t).NoErr(d.Start(context.Background(), nil))
 	t.Cleanup(func() { is.New(t).NoErr(d.Stop(context.Background())) })
--- a/entry/internal/directory/targets.go
+++ b/entry/internal/directory/targets.go
@@ -27,7 +27,7 @@
 		return
 	}
 	if d.merge(now, e.record) {
-		d.Spreader.Spread([]*wire.Record{e.record})
+		d.RecordBroadcaster.BroadcastRecords([]*wire.Record{e.record})
 	}
 	e.reply <- nil
 }
