--- a/entry/internal/forwarder/errors.go
+++ b/entry/internal/forwarder/errors.go
@@ -2,13 +2,13 @@
 
 import "fmt"
 
-// IncompleteStopError reports that requests were still in progress when the time to stop ran out.
-type IncompleteStopError struct {
+// StopTimeoutError reports that requests were still in progress when the time to stop ran out.
+type StopTimeoutError struct {
 	Running int64
 }
 
 // Error implements error.
-func (e *IncompleteStopError) Error() string {
+func (e *StopTimeoutError) Error() string {
 	return fmt.Sprintf("stop forwarding: %d requests were still in progress", e.Running)
 }
 
--- a/entry/internal/forwarder/forwarder.go
+++ b/entry/internal/forwarder/forwarder.go
@@ -90,7 +90,7 @@
 }
 
 // Stop refuses new requests and waits for those in progress, so that a planned stop interrupts none. It returns an
-// IncompleteStopError if requests are still in progress when ctx ends.
+// StopTimeoutError if requests are still in progress when ctx ends.
 func (f *Forwarder) Stop(ctx context.Context) error {
 	if f.cancel == nil {
 		return nil
@@ -101,7 +101,7 @@
 	for f.running.Load() > 0 {
 		select {
 		case <-ctx.Done():
-			return &IncompleteStopError{Running: f.running.Load()}
+			return &StopTimeoutError{Running: f.running.Load()}
 		case <-ticker.C:
 		}
 	}
