--- a/entry/internal/forwarder/admission.go
+++ b/entry/internal/forwarder/admission.go
@@ -19,12 +19,12 @@
 	limit  tuner.Tuner
 	view   *directory.View
 	budget *retrier.Budget
-	// responseTime is the smoothed time to a response's header.
+	// responseTime is the smoothed time from the start of an attempt to the response's header.
 	responseTime time.Duration
 }
 
 const (
-	// responseTimeoutFactor is the number of usual response times without a response after which a connection is
+	// responseTimeoutFactor is after how many times the usual response time without a response a connection is
 	// considered dead.
 	responseTimeoutFactor = 8
 	minResponseTimeout    = time.Second
--- a/entry/internal/forwarder/attempt.go
+++ b/entry/internal/forwarder/attempt.go
@@ -25,17 +25,17 @@
 	placeTimeout = time.Second
 )
 
-// result is the result of a request's attempts: a response to relay, or a refusal.
+// result is the result of one attempt or of all attempts of a request: a response to relay, or a refusal.
 type result struct {
 	response *http.Response
 	target   *balancer.Target
 	refusal  *refuser.Refusal
-	// release closes the response and returns the slot; call it once the response is relayed.
+	// release closes the response and returns the slot; call it after the response has been relayed.
 	release func()
 	ending  retrier.Ending
 	// took is the time to the response's header.
 	took time.Duration
-	// timedOut is set when the attempt was cancelled because no response arrived within the response timeout.
+	// timedOut is set if the attempt was cancelled because no response arrived within the response timeout.
 	timedOut bool
 }
 
@@ -46,24 +46,24 @@
 	// failure makes it certain again that it did not run.
 	ending := retrier.Unrun
 	for {
-		u, refusal := f.reserveTarget(j, d, tried)
+		target, refusal := f.reserveTarget(j, d, tried)
 		if refusal != nil {
 			return result{refusal: qualify(refusal, ending), ending: ending}
 		}
 		j.tries++
-		out := f.attempt(j, u, f.responseTimeout(j, d))
+		out := f.attempt(j, target, f.responseTimeout(j, d))
 		now := time.Now()
 		if out.ending == retrier.Answered {
 			f.recordAnswer(now, j, d, out)
 			return out
 		}
-		u.Release()
-		f.recordFailure(now, j, d, u, out)
+		target.Release()
+		f.recordFailure(now, j, d, target, out)
 		if out.ending == retrier.Unknown {
 			ending = retrier.Unknown
 		}
 		if !out.timedOut {
-			tried = append(tried, u)
+			tried = append(tried, target)
 		}
 		again := j.ctx.Err() == nil && d.budget.Again(retrier.Attempt{
 			Ending:     out.ending,
@@ -92,8 +92,8 @@
 }
 
 // attempt sends the request to one target, whose slot is already reserved.
-func (f *Forwarder) attempt(j *job, u *balancer.Target, responseTimeout time.Duration) result {
-	j.target, j.region = u.Name, u.Region
+func (f *Forwarder) attempt(j *job, target *balancer.Target, responseTimeout time.Duration) result {
+	j.target, j.region = target.Name, target.Region
 	start := time.Now()
 	ctx, cancel := f.attemptContext(j)
 	var timedOut atomic.Bool
@@ -105,28 +105,28 @@
 		defer timer.Stop()
 	}
 	var sent atomic.Bool
-	// Once a connection is obtained, bytes may have been sent: a request that fails before did certainly not run, the
-	// outcome of one that fails after is unknown.
+	// Once a connection is obtained, bytes may have been sent: a request that fails before that certainly did not run;
+	// the outcome of one that fails afterwards is unknown.
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { sent.Store(true) },
 	})
 	//nolint:bodyclose // release closes it
-	response, err := f.connections.transport(u, j.entry.Class).RoundTrip(f.outgoing(ctx, j, u))
+	response, err := f.connections.transport(target, j.entry.Class).RoundTrip(f.outgoing(ctx, j, target))
 	if err != nil {
 		cancel()
-		return result{target: u, ending: endingOf(sent.Load()), timedOut: timedOut.Load()}
+		return result{target: target, ending: endingOf(sent.Load()), timedOut: timedOut.Load()}
 	}
 	if isShed(response) {
 		_ = response.Body.Close()
 		cancel()
-		return result{target: u, ending: retrier.Unrun, refusal: &refuser.Refusal{Reason: "shed"}}
+		return result{target: target, ending: retrier.Unrun, refusal: &refuser.Refusal{Reason: "shed"}}
 	}
 	release := func() {
 		_ = response.Body.Close()
 		cancel()
-		u.Release()
+		target.Release()
 	}
-	return result{response: response, target: u, release: release, took: time.Since(start)}
+	return result{response: response, target: target, release: release, took: time.Since(start)}
 }
 
 func endingOf(sent bool) retrier.Ending {
@@ -136,7 +136,7 @@
 	return retrier.Unrun
 }
 
-// isShed reports whether a target states in its response that it did not run the request.
+// isShed reports whether a target refused the request and states in its response that it did not run it.
 func isShed(r *http.Response) bool {
 	return r.StatusCode == http.StatusServiceUnavailable &&
 		r.Header.Get(refuser.HeaderOutcome) == string(refuser.NotRun)
@@ -156,8 +156,8 @@
 	return context.WithDeadline(ctx, j.deadline)
 }
 
-// reserveTarget reserves a slot at a target in a region whose cap has room. While all slots are taken, it searches
-// again until placeTimeout or the caller's deadline has passed.
+// reserveTarget reserves a slot at a target in a region whose cap has room. While no slot is free, it searches again
+// until placeTimeout or the caller's deadline has passed or the caller has disconnected.
 func (f *Forwarder) reserveTarget(j *job, d *admission, tried []*balancer.Target) (*balancer.Target, *refuser.Refusal) {
 	giveUpAt := time.Now().Add(placeTimeout)
 	if !j.deadline.IsZero() && j.deadline.Before(giveUpAt) {
@@ -165,9 +165,9 @@
 	}
 	for {
 		now := time.Now()
-		u, capped := f.reserveInRegions(now, j, tried)
-		if u != nil {
-			return u, nil
+		target, capped := f.reserveInRegions(now, j, tried)
+		if target != nil {
+			return target, nil
 		}
 		if capped {
 			return nil, refuse(http.StatusServiceUnavailable, "cap", "the regions' limits are used up", now.Add(time.Second))
@@ -196,14 +196,14 @@
 	regions := pool.Regions()
 	capped := false
 	for _, region := range f.orderRegions(j, regions) {
-		u := f.balancer.Choose(now, pool, region, tried)
-		if u == nil {
+		target := f.balancer.Choose(now, pool, region, tried)
+		if target == nil {
 			continue
 		}
 		if f.takeLimits(now, j, regions[0], region) {
-			return u, false
+			return target, false
 		}
-		u.Release()
+		target.Release()
 		capped = true
 	}
 	if capped {
@@ -212,9 +212,10 @@
 	return nil, capped
 }
 
-// takeLimits takes one unit of each limit that applies to a request from a home region which is sent to a region. Every
-// request that reaches a shift's new region from the old one counts against the shift's cap, including those sent there
-// because the home region is full: both meet the new region's cold caches.
+// takeLimits takes one unit of each limit that applies when a request whose home region is home is sent to region, and
+// reports whether all limits allowed it. Every request that reaches a shift's new region from the old one counts
+// against the shift's cap, including those that are sent there because the home region is full: the new region's cold
+// caches can't tell the two apart.
 func (f *Forwarder) takeLimits(now time.Time, j *job, home, region string) bool {
 	for _, s := range j.view.Catalogue.Shifts {
 		if s.Service == j.entry.Service && s.From == home && s.To == region {
@@ -263,7 +264,7 @@
 	}
 }
 
-func (f *Forwarder) recordFailure(now time.Time, j *job, d *admission, u *balancer.Target, out result) {
+func (f *Forwarder) recordFailure(now time.Time, j *job, d *admission, target *balancer.Target, out result) {
 	f.Metrics.countFailure(out)
 	if out.refusal != nil {
 		d.recordShed(now)
@@ -272,29 +273,29 @@
 	late := !j.deadline.IsZero() && !now.Before(j.deadline)
 	if out.timedOut || late {
 		// Connections of the same age often lose their state on the path at the same time.
-		f.connections.closeIdle(u)
+		f.connections.closeIdle(target)
 	}
 	if out.timedOut {
-		_ = level.Warn(f.Logger).Log("msg", "connection silent", "target", u.Name, "entry", j.entry.Name)
+		_ = level.Warn(f.Logger).Log("msg", "connection silent", "target", target.Name, "entry", j.entry.Name)
 		return
 	}
 	if late || j.ctx.Err() != nil {
 		return
 	}
-	u.Fail(now)
-	f.ramps.addFailure(u.Region)
+	target.Fail(now)
+	f.ramps.addFailure(target.Region)
 	if out.ending != retrier.Unknown {
 		return
 	}
-	run := quarantiner.Run{Target: u.Name, Incarnation: u.Incarnation}
+	run := quarantiner.Run{Target: target.Name, Incarnation: target.Incarnation}
 	if f.Quarantine.Lose(now, j.fingerprint, run) {
 		f.LossBroadcaster.BroadcastLoss(&wire.Loss{
 			Fingerprint: j.fingerprint[:],
-			Target:      u.Name,
-			Incarnation: u.Incarnation,
+			Target:      target.Name,
+			Incarnation: target.Incarnation,
 		})
-		_ = level.Warn(f.Logger).Log("msg", "target broke off", "target", u.Name, "incarnation", u.Incarnation,
-			"entry", j.entry.Name)
+		_ = level.Warn(f.Logger).Log("msg", "target broke off", "target", target.Name,
+			"incarnation", target.Incarnation, "entry", j.entry.Name)
 	}
 }
 
--- a/entry/internal/forwarder/connections.go
+++ b/entry/internal/forwarder/connections.go
@@ -22,7 +22,7 @@
 	// idleTimeout is how long idle connections for requests that may repeat are kept open.
 	idleTimeout = 90 * time.Second
 	// onceIdleTimeout is the same for requests that must not repeat. It is short, because a device on the path may have
-	// dropped its state of a connection that was idle for long, and the outcome of a request sent on it would be unknown.
+	// dropped its state of a connection that was idle for long; the outcome of a request sent on it would be unknown.
 	onceIdleTimeout = time.Second
 	// headerTimeout bounds the wait for the response to an upload after its last byte.
 	headerTimeout     = 2 * time.Minute
@@ -50,20 +50,20 @@
 	bulk  *http.Transport
 }
 
-func (l *connections) transport(u *balancer.Target, class cataloguer.Class) *http.Transport {
+func (l *connections) transport(target *balancer.Target, class cataloguer.Class) *http.Transport {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.byTarget == nil {
 		l.byTarget = map[*balancer.Target]*transports{}
 	}
-	o, ok := l.byTarget[u]
+	o, ok := l.byTarget[target]
 	if !ok {
 		o = &transports{
-			plain: l.newTransport(u, idleTimeout, false),
-			once:  l.newTransport(u, onceIdleTimeout, false),
-			bulk:  l.newTransport(u, idleTimeout, true),
+			plain: l.newTransport(target, idleTimeout, false),
+			once:  l.newTransport(target, onceIdleTimeout, false),
+			bulk:  l.newTransport(target, idleTimeout, true),
 		}
-		l.byTarget[u] = o
+		l.byTarget[target] = o
 	}
 	switch class {
 	case cataloguer.Once:
@@ -75,7 +75,7 @@
 	return o.plain
 }
 
-func (l *connections) newTransport(u *balancer.Target, idle time.Duration, bulk bool) *http.Transport {
+func (l *connections) newTransport(target *balancer.Target, idle time.Duration, bulk bool) *http.Transport {
 	dialer := &resetter.Dialer{Dialer: net.Dialer{
 		Timeout: dialTimeout,
 		KeepAliveConfig: net.KeepAliveConfig{
@@ -84,21 +84,21 @@
 		Control: setUserTimeout,
 	}}
 	t := &http.Transport{
-		MaxIdleConnsPerHost: int(u.Slots),
+		MaxIdleConnsPerHost: int(target.Slots),
 		IdleConnTimeout:     idle,
 		DisableCompression:  true,
 		WriteBufferSize:     bufferSize,
 		ReadBufferSize:      bufferSize,
 		DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
 			conn, err := dialer.DialContext(ctx, network, address)
-			if err != nil || u.Region == l.region {
+			if err != nil || target.Region == l.region {
 				return conn, err
 			}
 			return &pacedConn{
 				Conn:   conn,
 				holder: l.holder,
-				out:    cataloguer.LinkResource(l.region, u.Region),
-				in:     cataloguer.LinkResource(u.Region, l.region),
+				out:    cataloguer.LinkResource(l.region, target.Region),
+				in:     cataloguer.LinkResource(target.Region, l.region),
 				bulk:   bulk,
 			}, nil
 		},
@@ -145,10 +145,10 @@
 }
 
 // closeIdle closes the idle connections to a target, so that the next request opens a new one.
-func (l *connections) closeIdle(u *balancer.Target) {
+func (l *connections) closeIdle(target *balancer.Target) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if o, ok := l.byTarget[u]; ok {
+	if o, ok := l.byTarget[target]; ok {
 		o.close()
 	}
 }
--- a/entry/internal/forwarder/errors.go
+++ b/entry/internal/forwarder/errors.go
@@ -18,7 +18,7 @@
 // Error implements error.
 func (e *StoppingError) Error() string { return "new requests are refused before a stop" }
 
-// PaceError reports that the share of a link's bandwidth stayed used up for longer than a transfer may stall.
+// PaceError reports that the share of a link's bandwidth stayed used up for stallTimeout.
 type PaceError struct {
 	Resource string
 }
--- a/entry/internal/forwarder/forwarder.go
+++ b/entry/internal/forwarder/forwarder.go
@@ -29,8 +29,11 @@
 // Views provides the current view of the control state.
 type Views interface {
 	View() *directory.View
+	// Confirmed reports whether the catalogue is confirmed, so that requests may be served.
 	Confirmed(now time.Time) bool
+	// RetryAt returns when a caller should retry that was refused because the catalogue is not confirmed.
 	RetryAt(now time.Time) time.Time
+	// SetSpare sets how many more requests this instance could take.
 	SetSpare(n int64)
 	// RequestHeartbeat asks for larger shares before the next heartbeat is due.
 	RequestHeartbeat()
@@ -89,7 +92,7 @@
 	return nil
 }
 
-// Stop refuses new requests and waits for those in progress, so that a planned stop interrupts none. It returns an
+// Stop refuses new requests and waits for those in progress, so that a planned stop interrupts none. It returns a
 // StopTimeoutError if requests are still in progress when ctx ends.
 func (f *Forwarder) Stop(ctx context.Context) error {
 	if f.cancel == nil {
@@ -125,7 +128,8 @@
 // Running returns how many requests are in progress.
 func (f *Forwarder) Running() int64 { return f.running.Load() }
 
-// maintenanceLoop expires queued requests and removes outdated state at regular intervals, until ctx ends.
+// maintenanceLoop refuses queued requests whose time is up, updates the stages of shifts and removes outdated state, at
+// regular intervals until ctx ends.
 func (f *Forwarder) maintenanceLoop(ctx context.Context) {
 	defer close(f.done)
 	ticker := time.NewTicker(expireInterval)
--- a/entry/internal/forwarder/forwarder_test.go
+++ b/entry/internal/forwarder/forwarder_test.go
@@ -90,14 +90,14 @@
 	return nil
 }
 
-// testEntry is a forwarder for the given targets, served over HTTP.
-type testEntry struct {
+// testInstance is a forwarder for the given targets, served over HTTP.
+type testInstance struct {
 	*httptest.Server
 	forwarder *Forwarder
 	ledger    *fakeLedger
 }
 
-func newTestEntry(t *testing.T, targets ...string) *testEntry {
+func newTestInstance(t *testing.T, targets ...string) *testInstance {
 	t.Helper()
 	is := is.New(t)
 	c, err := cataloguer.Parse("test", []byte(testCatalogue))
@@ -113,7 +113,7 @@
 		Pools:     map[string]*balancer.Pool{"listings": pool},
 		Instances: chooser.New(nil, nil, nil),
 	}}
-	out := &testEntry{ledger: &fakeLedger{}}
+	out := &testInstance{ledger: &fakeLedger{}}
 	out.forwarder = &Forwarder{
 		Instance: "e1", Region: "almaty", Views: views, Holder: &granter.Holder{}, Ledger: out.ledger,
 		LossBroadcaster: views, Quarantine: &quarantiner.Quarantiner{}, Logger: log.NewNopLogger(),
@@ -130,7 +130,7 @@
 	return out
 }
 
-func (f *testEntry) send(t *testing.T, method, path, body string, header http.Header) *http.Response {
+func (f *testInstance) send(t *testing.T, method, path, body string, header http.Header) *http.Response {
 	t.Helper()
 	r, err := http.NewRequest(method, f.URL+path, strings.NewReader(body))
 	is.New(t).NoErr(err)
@@ -151,7 +151,7 @@
 	is.Equal(r.Header.Get(refuser.HeaderOutcome), string(outcome))
 }
 
-func key(t *testing.T) http.Header {
+func keyHeader(t *testing.T) http.Header {
 	t.Helper()
 	id, err := uuid.NewV7()
 	is.New(t).NoErr(err)
@@ -211,7 +211,7 @@
 		for range 2 {
 			r, err := http.NewRequest(http.MethodPost, "http://"+b.Addr().String()+"/rsvp", strings.NewReader("seat"))
 			is.NoErr(err)
-			r.Header = key(t)
+			r.Header = keyHeader(t)
 			if response, err := http.DefaultClient.Do(r); err == nil {
 				_, _ = io.Copy(io.Discard, response.Body)
 				_ = response.Body.Close()
@@ -223,9 +223,10 @@
 		t.Run("forwarder with body "+body, func(t *testing.T) {
 			is := is.New(t)
 			b := newBreakingTarget(t)
-			f := newTestEntry(t, b.Addr().String())
-			is.Equal(f.send(t, http.MethodPost, "/rsvp", body, key(t)).StatusCode, http.StatusOK)
-			assertOutcome(t, f.send(t, http.MethodPost, "/rsvp", body, key(t)), http.StatusBadGateway, refuser.Unknown)
+			f := newTestInstance(t, b.Addr().String())
+			is.Equal(f.send(t, http.MethodPost, "/rsvp", body, keyHeader(t)).StatusCode, http.StatusOK)
+			assertOutcome(t, f.send(t, http.MethodPost, "/rsvp", body, keyHeader(t)),
+				http.StatusBadGateway, refuser.Unknown)
 			is.Equal(b.reads.Load(), int32(2))
 		})
 	}
@@ -235,7 +236,7 @@
 // after it was sent, and no other target is left for a second one.
 func TestUnknownOutcomeIsKeptWithoutAnotherTarget(t *testing.T) {
 	b := newBreakingTarget(t)
-	f := newTestEntry(t, b.Addr().String())
+	f := newTestInstance(t, b.Addr().String())
 	is.New(t).Equal(f.send(t, http.MethodPut, "/a", "x", nil).StatusCode, http.StatusOK)
 	r := f.send(t, http.MethodPut, "/a", "x", nil)
 	is.New(t).Equal(r.Header.Get(refuser.HeaderOutcome), string(refuser.Unknown))
@@ -245,12 +246,13 @@
 	closed, err := net.Listen("tcp", "127.0.0.1:0")
 	is.New(t).NoErr(err)
 	is.New(t).NoErr(closed.Close())
-	f := newTestEntry(t, closed.Addr().String())
+	f := newTestInstance(t, closed.Addr().String())
 	t.Run("no listener", func(t *testing.T) {
 		assertOutcome(t, f.send(t, http.MethodGet, "/", "", nil), http.StatusServiceUnavailable, refuser.NotRun)
 	})
 	t.Run("the key is released", func(t *testing.T) {
-		assertOutcome(t, f.send(t, http.MethodPost, "/rsvp", "x", key(t)), http.StatusServiceUnavailable, refuser.NotRun)
+		assertOutcome(t, f.send(t, http.MethodPost, "/rsvp", "x", keyHeader(t)),
+			http.StatusServiceUnavailable, refuser.NotRun)
 		for range 100 {
 			f.ledger.mu.Lock()
 			settled := len(f.ledger.settled)
@@ -273,7 +275,7 @@
 }
 
 func TestBadRequests(t *testing.T) {
-	f := newTestEntry(t, "127.0.0.1:1")
+	f := newTestInstance(t, "127.0.0.1:1")
 	cases := []struct {
 		name   string
 		path   string
@@ -305,10 +307,10 @@
 	var runs atomic.Int32
 	target := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { runs.Add(1) }))
 	t.Cleanup(target.Close)
-	f := newTestEntry(t, target.Listener.Addr().String())
+	f := newTestInstance(t, target.Listener.Addr().String())
 	c, err := net.Dial("tcp", f.Listener.Addr().String())
 	is.NoErr(err)
-	_, err = io.WriteString(c, "POST /rsvp HTTP/1.1\r\nHost: listings\r\nIdempotency-Key: "+key(t).Get(headerKey)+
+	_, err = io.WriteString(c, "POST /rsvp HTTP/1.1\r\nHost: listings\r\nIdempotency-Key: "+keyHeader(t).Get(headerKey)+
 		"\r\nContent-Length: 100\r\n\r\nhalf")
 	is.NoErr(err)
 	is.NoErr(c.Close())
@@ -327,7 +329,7 @@
 		_, _ = io.WriteString(w, r.URL.Query().Get("id")+":"+string(body))
 	}))
 	t.Cleanup(target.Close)
-	f := newTestEntry(t, target.Listener.Addr().String())
+	f := newTestInstance(t, target.Listener.Addr().String())
 	var group sync.WaitGroup
 	for i := range 40 {
 		group.Go(func() {
@@ -355,7 +357,7 @@
 		w.Header().Set("X-Public", "yes")
 	}))
 	t.Cleanup(target.Close)
-	f := newTestEntry(t, target.Listener.Addr().String())
+	f := newTestInstance(t, target.Listener.Addr().String())
 	r := f.send(t, http.MethodGet, "/", "", http.Header{
 		"Connection": {"X-Drop"}, "X-Drop": {"1"}, "Te": {"trailers"}, "X-Keep": {"1"},
 	})
@@ -372,7 +374,7 @@
 // for a slot. The caller must get a refusal with the outcome not-run.
 func TestServiceRemovedWhileARequestWaits(t *testing.T) {
 	is := is.New(t)
-	f := newTestEntry(t, "127.0.0.1:1")
+	f := newTestInstance(t, "127.0.0.1:1")
 	view := &directory.View{Catalogue: &cataloguer.Catalogue{}, Pools: map[string]*balancer.Pool{}}
 	r := httptest.NewRequest(http.MethodGet, "/", nil)
 	j := &job{request: r, ctx: r.Context(), view: view, entry: &cataloguer.Entry{Service: "listings"}}
--- a/entry/internal/forwarder/job.go
+++ b/entry/internal/forwarder/job.go
@@ -59,7 +59,7 @@
 		return j, refuse(http.StatusServiceUnavailable, "stopping", "this instance is stopping", now.Add(time.Second))
 	}
 	// An unconfirmed catalogue may have been replaced. Using it would break the guarantee that an accepted change is in
-	// force on every instance, so the caller is refused.
+	// force on every instance, so the caller has to turn to another instance.
 	if j.view == nil || !f.Views.Confirmed(now) {
 		return j, refuse(http.StatusServiceUnavailable, "lapsed", "the catalogue is not confirmed", f.Views.RetryAt(now))
 	}
@@ -170,8 +170,8 @@
 	return nil
 }
 
-// fingerprint covers everything that determines what a target would run, so that requests that cause the same crash
-// have the same fingerprint.
+// fingerprint identifies what a target would run, so that a request that made a target fail is recognised when it comes
+// again. It covers the service, the organisation, the method, the URI and the part of the body that was read ahead.
 func fingerprint(j *job) quarantiner.Fingerprint {
 	var out quarantiner.Fingerprint
 	first := digest(j, 0)
--- a/entry/internal/forwarder/once.go
+++ b/entry/internal/forwarder/once.go
@@ -22,14 +22,15 @@
 const (
 	// claimTimeout bounds the wait for a claim; it is long enough for the controllers to elect a new leader.
 	claimTimeout = 4 * time.Second
-	// settleTimeout bounds the wait for the ledger; the caller gets the answer after it in any case.
+	// settleTimeout bounds the wait for the ledger; after it the caller gets the answer even if it is not stored.
 	settleTimeout = 4 * time.Second
 	// backgroundSettleTimeout bounds the attempts to settle that the caller does not wait for.
 	backgroundSettleTimeout = time.Minute
 	headerReplayed          = "Idempotency-Replayed"
 )
 
-// forwardOnce runs a request that must not repeat: it is claimed before it is sent, and settled before it is answered.
+// forwardOnce runs a request that must not repeat: it is claimed before it is sent, sent again only if an earlier
+// attempt certainly did not run it, and settled before it is answered.
 func (f *Forwarder) forwardOnce(w http.ResponseWriter, j *job, d *admission) *refuser.Refusal {
 	claim := f.newClaim(j)
 	ctx, cancel := context.WithTimeout(j.ctx, claimTimeout)
--- a/entry/internal/forwarder/relay.go
+++ b/entry/internal/forwarder/relay.go
@@ -19,11 +19,11 @@
 var buffers = sync.Pool{New: func() any { b := make([]byte, bufferSize); return &b }}
 
 // outgoing returns the request to send to one target.
-func (f *Forwarder) outgoing(ctx context.Context, j *job, u *balancer.Target) *http.Request {
+func (f *Forwarder) outgoing(ctx context.Context, j *job, target *balancer.Target) *http.Request {
 	out := j.request.Clone(ctx)
 	out.RequestURI = ""
 	out.URL.Scheme = "http"
-	out.URL.Host = u.Address.String()
+	out.URL.Host = target.Address.String()
 	out.Close = false
 	out.GetBody = nil
 	out.Body = j.body.open()
