--- a/entry/internal/forwarder/admission.go
+++ b/entry/internal/forwarder/admission.go
@@ -24,8 +24,8 @@
 }
 
 const (
-	// responseTimeoutFactor is after how many times the usual response time without a response a connection is
-	// considered dead.
+	// responseTimeoutFactor times the usual response time is how long a connection may go without a response before it
+	// is considered dead.
 	responseTimeoutFactor = 8
 	minResponseTimeout    = time.Second
 )
