--- a/entry/internal/announcer/announcer.go
+++ b/entry/internal/announcer/announcer.go
@@ -18,7 +18,7 @@
 const (
 	// maxBody is the largest body of an announcement, in bytes.
 	maxBody = 16 << 10
-	// retryPause is after what time a target may retry while this instance has no confirmed catalogue.
+	// retryPause is how long a target should wait before it retries, while this instance has no confirmed catalogue.
 	retryPause = time.Second
 )
 
@@ -46,7 +46,8 @@
 	State       string `json:"state"`
 }
 
-// acknowledgement is the JSON object of the answer: until when the announcement is valid, and when to announce again.
+// acknowledgement is the JSON object of the answer. It states until when the announcement is valid and when to announce
+// again.
 type acknowledgement struct {
 	Deadline time.Time `json:"deadline"`
 	Next     time.Time `json:"next"`
--- a/entry/internal/announcer/announcer_test.go
+++ b/entry/internal/announcer/announcer_test.go
@@ -51,8 +51,10 @@
 
 func TestInvalidAnnouncements(t *testing.T) {
 	bodies := map[string]string{
-		"empty": "", "not JSON": "hello", "unknown field": `{"nam":"u1"}`, "two objects": validAnnouncement + validAnnouncement,
-		"unknown state": strings.Replace(validAnnouncement, "ready", "asleep", 1), "negative": strings.Replace(validAnnouncement, "3", "-3", 1),
+		"empty": "", "not JSON": "hello", "unknown field": `{"nam":"u1"}`,
+		"two objects":      validAnnouncement + validAnnouncement,
+		"unknown state":    strings.Replace(validAnnouncement, "ready", "asleep", 1),
+		"negative":         strings.Replace(validAnnouncement, "3", "-3", 1),
 		"number too large": strings.Replace(validAnnouncement, `"slots":3`, `"slots":99999999999`, 1),
 		"too long":         `{"name":"` + strings.Repeat("x", maxBody) + `"}`,
 	}
