--- a/entry/internal/broadcaster/broadcaster.go
+++ b/entry/internal/broadcaster/broadcaster.go
@@ -154,6 +154,7 @@
 	}
 }
 
+// peers returns the addresses of the other entry instances by name; lost ones are left out.
 func (s *Broadcaster) peers() map[string]netip.AddrPort {
 	out := map[string]netip.AddrPort{}
 	v := s.Register.View()
@@ -198,7 +199,7 @@
 	}
 }
 
-// pickPeer returns an instance that had no full exchange yet, or, if due, any other at random.
+// pickPeer returns an instance that had no full exchange yet, or, if due, one chosen at random.
 func (s *Broadcaster) pickPeer(due bool) (string, netip.AddrPort, bool) {
 	peers := s.peers()
 	for name, address := range peers {
