--- a/entry/internal/config/config.go
+++ b/entry/internal/config/config.go
@@ -47,8 +47,8 @@
 
 	// RenewInterval is the time between two heartbeats to the leading controller.
 	RenewInterval time.Duration
-	// AnswerMaxAge is how long callers may keep the answer to a look-up. A stopping instance serves requests for at least
-	// that long.
+	// AnswerMaxAge is how long callers may keep the answer to a look-up. A planned stop serves requests for at least
+	// that long, within StopTimeout.
 	AnswerMaxAge time.Duration
 	// StopTimeout bounds how long a planned stop may take.
 	StopTimeout time.Duration
@@ -60,7 +60,7 @@
 
 	LogFormat string
 	LogLevel  string
-	// Sample is n if one in n routing decisions is logged.
+	// Sample is the sampling rate of the log: one in this many routing decisions is logged.
 	Sample int64
 }
 
--- a/entry/internal/config/config_test.go
+++ b/entry/internal/config/config_test.go
@@ -22,7 +22,7 @@
 
 // Guards against mistyped settings that are ignored, so that the program runs with unintended defaults: every fault is
 // reported at once, before anything starts.
-func TestFaultsAreNamed(t *testing.T) {
+func TestFaultsAreReported(t *testing.T) {
 	cases := []struct{ name, old, replacement, want string }{
 		{"unknown key", "zone =", "zoen =", "[entry] zoen: expected a key known here"},
 		{"bad name", "name = e1", "name = e\"1", "name: expected letters, digits and hyphens"},
