--- a/entry/internal/directory/directory.go
+++ b/entry/internal/directory/directory.go
@@ -26,7 +26,7 @@
 	queueLength = 4096
 	// refreshInterval is how often records are expired and the view is rebuilt.
 	refreshInterval = 100 * time.Millisecond
-	// retryPause is after what time a caller may retry that was refused because the catalogue is not confirmed.
+	// retryPause is how long a caller should wait that was refused because the catalogue is not confirmed.
 	retryPause = time.Second
 )
 
@@ -226,6 +226,6 @@
 	return chooser.New(out, regions, distance)
 }
 
-// minWaitDivisor defines the minimum time between two heartbeats, also if one is requested or has failed: a quarter of
-// the interval.
+// minWaitDivisor defines the minimum time between two heartbeats, even if one is requested early or the last one
+// failed: a quarter of the interval.
 const minWaitDivisor = 4
--- a/entry/internal/directory/directory_test.go
+++ b/entry/internal/directory/directory_test.go
@@ -77,8 +77,9 @@
 	t.Fatal("condition was not met within 10 s")
 }
 
-// Guards against an accepted change that reverts here: a controller is restored from an old disk, or one of another
-// group answers. The instance keeps its catalogue, and stops serving when no controller confirms it.
+// Guards against an accepted change that reverts on an entry instance, because a controller has come back with an old
+// disk or one of another group answers. The instance keeps its catalogue, and stops serving if no controller confirms
+// it.
 func TestOlderCatalogueIsRejected(t *testing.T) {
 	cases := map[string]func(s *fakeController){
 		"older number":  func(s *fakeController) { s.number = 3 },
--- a/entry/internal/directory/heartbeat.go
+++ b/entry/internal/directory/heartbeat.go
@@ -145,15 +145,17 @@
 	return true
 }
 
-// acceptable rejects answers of another group of controllers, and an older catalogue from any controller: one that was
-// restored from an old disk would otherwise make an accepted change revert here.
+// acceptable reports whether an answer may be applied. It rejects answers of another group of controllers, and older
+// catalogues from any controller: one that came back with an old disk would otherwise make an accepted change revert on
+// this instance.
 func (d *Directory) acceptable(r *wire.RenewResponse) bool {
 	if d.group != 0 && r.GetGroup() != d.group {
 		_ = level.Error(d.Logger).Log("msg", "refused controller of another group", "group", r.GetGroup())
 		return false
 	}
 	if r.GetNumber() < d.catalogueNumber {
-		_ = level.Error(d.Logger).Log("msg", "refused older catalogue", "number", r.GetNumber(), "have", d.catalogueNumber)
+		_ = level.Error(d.Logger).Log("msg", "refused older catalogue", "number", r.GetNumber(),
+			"have", d.catalogueNumber)
 		return false
 	}
 	return true
--- a/entry/internal/directory/targets.go
+++ b/entry/internal/directory/targets.go
@@ -89,7 +89,7 @@
 }
 
 // coldSince returns since when a newly seen target counts as cold. Within the lease of announcements after this
-// instance's own start targets count as warm (zero time): they have been serving meanwhile, and ramping up all of them
+// instance's own start, targets count as warm (zero time): they have been serving meanwhile, and ramping up all of them
 // again would refuse callers after every restart.
 func (d *Directory) coldSince(now time.Time) time.Time {
 	if now.Sub(d.started) < registrar.Lease {
--- a/entry/internal/directory/view.go
+++ b/entry/internal/directory/view.go
@@ -99,7 +99,7 @@
 // ownZone is the key of the targets in this instance's own zone. It can't be a region's name, which has no blank.
 const ownZone = "own zone"
 
-// otherRegions returns the catalogue's regions but this instance's own, sorted by name.
+// otherRegions returns the catalogue's regions except this instance's own, sorted by name.
 func (d *Directory) otherRegions(c *cataloguer.Catalogue) []string {
 	var out []string
 	for _, r := range c.Regions {
