--- a/entry/internal/locator/locator.go
+++ b/entry/internal/locator/locator.go
@@ -26,8 +26,8 @@
 	// answerTimeout is many times the usual response time of an instance of the same region. An instance that takes
 	// longer is frozen or unreachable, and the request does not wait for it.
 	answerTimeout = 100 * time.Millisecond
-	// spendTimeout is the timeout where the other instance may have to call a controller first; it answers within
-	// MaxSpendWait.
+	// spendTimeout is the timeout of calls for which the other instance may have to call a controller first; it answers
+	// within MaxSpendWait.
 	spendTimeout = 350 * time.Millisecond
 	// MaxSpendWait is how long a request of another instance waits for a part of a quota; the other instance then asks
 	// again.
@@ -72,7 +72,7 @@
 // Health implements kernel.Service.
 func (l *Locator) Health() error { return nil }
 
-// Start creates the HTTP client, and returns its error.
+// Start creates the HTTP client. It fails if the client can't be created.
 func (l *Locator) Start(context.Context, kernel.Finder) error {
 	client, err := l.Dialer.Client()
 	if err != nil {
@@ -178,8 +178,8 @@
 ) (*connect.Response[wire.PlaceResponse], error) {
 	now := time.Now()
 	assignment := l.Assigner.Assign(now, r.Msg.GetService(), placer.AssignRequest{
-		Object: r.Msg.GetObject(), Route: r.Msg.GetRoute(), Hint: r.Msg.GetHint(), ColdTime: time.Duration(r.Msg.GetCold()),
-		Regions: r.Msg.GetRegions(),
+		Object: r.Msg.GetObject(), Route: r.Msg.GetRoute(), Hint: r.Msg.GetHint(),
+		ColdTime: time.Duration(r.Msg.GetCold()), Regions: r.Msg.GetRegions(),
 	})
 	return connect.NewResponse(&wire.PlaceResponse{
 		Target: assignment.Target, First: assignment.FirstRun, Warming: int64(warming(now, assignment)),
--- a/entry/internal/locator/locator_test.go
+++ b/entry/internal/locator/locator_test.go
@@ -68,7 +68,8 @@
 	peers := []Peer{{"a", serve(t, a.Handler())}, {"b", serve(t, b.Handler())}}
 	for _, owner := range []string{"a", "b"} {
 		request := placer.AssignRequest{
-			Object: objectOwnedBy(a, peers, owner), Route: "r", Hint: "h", ColdTime: time.Second, Regions: []string{"x"},
+			Object: objectOwnedBy(a, peers, owner), Route: "r", Hint: "h",
+			ColdTime: time.Second, Regions: []string{"x"},
 		}
 		first, second := a.Locate(t.Context(), peers, "s", request), b.Locate(t.Context(), peers, "s", request)
 		is.Equal(first.Target, second.Target)
