--- a/entry/internal/requester/requester.go
+++ b/entry/internal/requester/requester.go
@@ -32,8 +32,9 @@
 	client  *http.Client
 	mu      sync.Mutex
 	clients map[netip.AddrPort]wireconnect.ControlClient
-	next    int
-	leader  netip.AddrPort
+	// next selects the controller to call while the leader is unknown.
+	next   int
+	leader netip.AddrPort
 }
 
 // Name implements kernel.Service.
@@ -64,8 +65,8 @@
 // Health implements kernel.Service.
 func (q *Requester) Health() error { return nil }
 
-// Renew sends one heartbeat to the leader. It makes at most one call per controller, and returns the last error if all
-// fail.
+// Renew sends one heartbeat to the leader. It makes at most as many calls as there are controllers, and returns the
+// last error if all fail.
 func (q *Requester) Renew(ctx context.Context, r *wire.RenewRequest) (*wire.RenewResponse, error) {
 	var last error
 	for range q.Controllers {
@@ -126,6 +127,8 @@
 	}
 }
 
+// currentClient returns the leader and its client, or, if the leader is unknown or not one of Controllers, those of the
+// next controller.
 func (q *Requester) currentClient() (netip.AddrPort, wireconnect.ControlClient) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -137,15 +140,15 @@
 }
 
 // switchController switches to the leader that err reports, or else to the next controller.
-func (q *Requester) switchController(asked netip.AddrPort, err error) {
+func (q *Requester) switchController(called netip.AddrPort, err error) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	reported := leaderOf(err)
-	if reported.IsValid() && reported != asked {
+	if reported.IsValid() && reported != called {
 		q.leader = reported
 		return
 	}
-	if q.leader == asked {
+	if q.leader == called {
 		q.leader = netip.AddrPort{}
 	}
 	q.next++
