--- a/entry/internal/resolver/resolver.go
+++ b/entry/internal/resolver/resolver.go
@@ -15,6 +15,7 @@
 	"chervilrail.example/entry/internal/refuser"
 )
 
+// answerSize is the initial capacity of the buffer for an answer, in bytes.
 const answerSize = 256
 
 // Views provides the current view of the control state.
@@ -26,12 +27,14 @@
 
 // Handler serves GET /lookup. Set the exported fields before use.
 type Handler struct {
-	Views  Views
+	Views Views
+	// Region is the region for clients whose address the catalogue does not map to one.
 	Region string
 	// MaxAge is how long callers may cache an answer.
 	MaxAge time.Duration
 	Logger log.Logger
-	Count  func(result string)
+	// Count counts a look-up by its result.
+	Count func(result string)
 }
 
 // ServeHTTP implements http.Handler. The query names the service, and the client's IP address if it differs from the
@@ -89,7 +92,7 @@
 }
 
 // Append appends an answer as JSON to out. It does not use an encoder, so that a look-up does not allocate for each
-// entry. Names hold only letters, digits and hyphens, so nothing needs escaping.
+// entry. Names contain only letters, digits and hyphens, so nothing needs escaping.
 func Append(out []byte, deadline time.Time, region string, chosen []*chooser.Instance) []byte {
 	out = append(out, `{"deadline":"`...)
 	out = deadline.UTC().AppendFormat(out, time.RFC3339Nano)
--- a/entry/internal/resolver/resolver_test.go
+++ b/entry/internal/resolver/resolver_test.go
@@ -51,7 +51,7 @@
 	return 1
 }
 
-func handler(t testing.TB, confirmed bool) *Handler {
+func newHandler(t testing.TB, confirmed bool) *Handler {
 	t.Helper()
 	c, err := cataloguer.Parse("test", []byte(catalogue))
 	is.New(t).NoErr(err)
@@ -82,7 +82,7 @@
 	for client, region := range map[string]string{"10.2.3.4": "astana", "10.9.9.9": "almaty", "2001:db8::1": "almaty"} {
 		t.Run(client, func(t *testing.T) {
 			is := is.New(t)
-			w := lookUp(handler(t, true), "service=listings&client="+client)
+			w := lookUp(newHandler(t, true), "service=listings&client="+client)
 			is.Equal(w.Code, http.StatusOK)
 			var answer struct {
 				Deadline time.Time
@@ -111,7 +111,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			is.New(t).Equal(lookUp(handler(t, c.confirmed), c.query).Code, c.status)
+			is.New(t).Equal(lookUp(newHandler(t, c.confirmed), c.query).Code, c.status)
 		})
 	}
 }
@@ -124,7 +124,7 @@
 func (n *discardWriter) WriteHeader(int)             {}
 
 func BenchmarkLookup(b *testing.B) {
-	h := handler(b, true)
+	h := newHandler(b, true)
 	r := httptest.NewRequest(http.MethodGet, "/lookup?service=listings&client=10.2.3.4", nil)
 	w := &discardWriter{http.Header{}}
 	b.ReportAllocs()
