--- a/entry/internal/directory/targets.go
+++ b/entry/internal/directory/targets.go
@@ -88,9 +88,9 @@
 	return true
 }
 
-// coldSince returns since when a newly seen target counts as cold. Within the lease of announcements after this
-// instance's own start, targets count as warm (zero time): they have been serving meanwhile, and ramping up all of them
-// again would refuse callers after every restart.
+// coldSince returns since when a newly seen target counts as cold. Within registrar.Lease after this instance's own
+// start, targets count as warm (zero time): they have been serving meanwhile, and ramping up all of them again would
+// refuse callers after every restart.
 func (d *Directory) coldSince(now time.Time) time.Time {
 	if now.Sub(d.started) < registrar.Lease {
 		return time.Time{}
@@ -98,7 +98,8 @@
 	return now
 }
 
-// changed reports whether a record is of another run of the target, or of one with other slots, address or place.
+// changed reports whether a record is of another run of the target, or has other slots or another address, region or
+// zone.
 func changed(target *balancer.Target, r *wire.Record) bool {
 	return target.Incarnation != r.GetIncarnation() || target.Slots != r.GetSlots() ||
 		target.Address.String() != r.GetAddress() || target.Region != r.GetRegion() || target.Zone != r.GetZone()
