--- a/entry/internal/forwarder/ramps.go
+++ b/entry/internal/forwarder/ramps.go
@@ -22,7 +22,7 @@
 type ramps struct {
 	mu      sync.Mutex
 	byName  map[string]*ramp
-	regions map[string]*regionMeasure
+	regions map[string]*regionMeasurements
 }
 
 type ramp struct {
@@ -32,20 +32,22 @@
 	failures int64
 }
 
-type regionMeasure struct {
+type regionMeasurements struct {
+	// at is the time of the newest answer or failure.
 	at       time.Time
 	answers  int64
 	failures int64
+	// smoothed is the smoothed response time.
 	smoothed time.Duration
 }
 
-func (r *ramps) region(name string) *regionMeasure {
+func (r *ramps) region(name string) *regionMeasurements {
 	if r.regions == nil {
-		r.regions = map[string]*regionMeasure{}
+		r.regions = map[string]*regionMeasurements{}
 	}
 	m, ok := r.regions[name]
 	if !ok {
-		m = &regionMeasure{}
+		m = &regionMeasurements{}
 		r.regions[name] = m
 	}
 	return m
--- a/entry/internal/forwarder/relay.go
+++ b/entry/internal/forwarder/relay.go
@@ -45,7 +45,7 @@
 }
 
 // relay copies a target's response to the caller and releases the target's slot. It panics with http.ErrAbortHandler if
-// the response breaks off.
+// the response breaks off or the caller can't be written to.
 func (f *Forwarder) relay(w http.ResponseWriter, j *job, out result) {
 	defer out.release()
 	writeHead(w, j, out.response)
