--- a/entry/internal/forwarder/errors.go
+++ b/entry/internal/forwarder/errors.go
@@ -2,13 +2,13 @@
 
 import "fmt"
 
-// IncompleteStopError reports that requests were still in progress when the time to stop ran out.
-type IncompleteStopError struct {
+// StopTimeoutError reports that requests were still in progress when the time to stop ran out.
+type StopTimeoutError struct {
 	Running int64
 }
 
 // Error implements error.
-func (e *IncompleteStopError) Error() string {
+func (e *StopTimeoutError) Error() string {
 	return fmt.Sprintf("stop forwarding: %d requests were still in progress", e.Running)
 }
 
@@ -18,7 +18,7 @@
 // Error implements error.
 func (e *StoppingError) Error() string { return "new requests are refused before a stop" }
 
-// PaceError reports that the share of a link's bandwidth stayed used up for longer than a transfer may stall.
+// PaceError reports that the share of a link's bandwidth stayed used up for stallTimeout.
 type PaceError struct {
 	Resource string
 }
