--- a/core/claimer/claimer.go
+++ b/core/claimer/claimer.go
@@ -65,8 +65,8 @@
 }
 
 func (l *Ledger) grant(id recordKey, c *wire.Claim) *wire.ClaimResult {
-	// Space for the largest response is reserved first: a full ledger must refuse the claim before the request runs,
-	// rather than lose its outcome afterwards.
+	// Space for the largest response body is reserved first: a full ledger must refuse the claim before the request
+	// runs, rather than lose its outcome afterwards.
 	maxBytes := l.MaxBytes
 	if maxBytes == 0 {
 		maxBytes = DefaultMaxBytes
--- a/core/claimer/claimer_test.go
+++ b/core/claimer/claimer_test.go
@@ -51,7 +51,7 @@
 	t.Run("a retry by the holder is granted", func(t *testing.T) {
 		assertState(t, l.Claim(start, first), wire.ClaimState_CLAIM_GRANTED)
 	})
-	t.Run("another attempt gets in progress", func(t *testing.T) {
+	t.Run("another attempt gets the state in progress", func(t *testing.T) {
 		assertState(t, l.Claim(start, claimAt(start, "k", "e2", 2)), wire.ClaimState_CLAIM_PROGRESS)
 	})
 	t.Run("another body is refused", func(t *testing.T) {
