--- a/core/cataloguer/parse.go
+++ b/core/cataloguer/parse.go
@@ -26,7 +26,7 @@
 	fullPercent    = 100
 	maxStages      = 100
 	defaultStages  = 5
-	linkEnds       = 2
+	regionsPerLink = 2
 	// minFloorHolders is the number of entry instances whose floors must fit into the cap of their region.
 	minFloorHolders = 16
 )
@@ -104,14 +104,14 @@
 }
 
 func (r *reader) link(s *parser.Section) {
-	ends := strings.Fields(s.Name)
-	if len(ends) != linkEnds {
+	regions := strings.Fields(s.Name)
+	if len(regions) != regionsPerLink {
 		r.Fault(s, "", "two region names after link", strconv.Quote(s.Name))
 		return
 	}
 	r.catalogue.Links = append(r.catalogue.Links, Link{
-		From: ends[0],
-		To:   ends[1],
+		From: regions[0],
+		To:   regions[1],
 		Cap:  r.Number(s, "cap", 0, 1, maxByteRate),
 	})
 }
