--- a/core/parser/errors.go
+++ b/core/parser/errors.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Fault is one error in a document. Line, Section and Key are empty where they are not known.
+// Fault is one error in a document. Line is 0, and Section and Key are empty, where they are not known.
 type Fault struct {
 	Source   string
 	Line     int
--- a/core/parser/parser.go
+++ b/core/parser/parser.go
@@ -37,7 +37,7 @@
 	faults []Fault
 }
 
-// Parse splits a source into sections; the source's name stands in faults. Err reports syntax faults too.
+// Parse splits a document into sections; source names it in faults. Err reports syntax faults too.
 func Parse(source string, data []byte) *Document {
 	d := &Document{Source: source}
 	if bytes.IndexByte(data, 0) >= 0 {
--- a/core/parser/values.go
+++ b/core/parser/values.go
@@ -31,7 +31,7 @@
 	return fallback
 }
 
-// maxName is the longest name; it is the limit for a label of a host name.
+// maxName is the length of the longest name in bytes, which is also the limit for a label of a host name.
 const maxName = 63
 
 // ValidName reports whether a name is not empty, at most maxName long and holds only letters, digits and hyphens, so
