--- a/core/limiter/window.go
+++ b/core/limiter/window.go
@@ -56,7 +56,8 @@
 	return w.sum
 }
 
-// NextBucket returns the start of the next bucket, when the window may allow more.
+// NextBucket returns the next multiple of the bucket width since the zero time. If Origin is such a multiple too, the
+// next bucket starts then, and the window may allow more.
 func (w *Window) NextBucket(now time.Time) time.Time {
 	return now.Truncate(w.bucketWidth()).Add(w.bucketWidth())
 }
