--- a/core/quarantiner/quarantiner.go
+++ b/core/quarantiner/quarantiner.go
@@ -31,8 +31,8 @@
 
 // Quarantiner holds the suspected requests. Its zero value holds none.
 type Quarantiner struct {
-	// Threshold is how many different target runs must be lost while a request is in flight there until it counts as
-	// the cause and is refused; zero means DefaultThreshold.
+	// Threshold is the number of different target runs that must be lost while a request is in flight there, before the
+	// request counts as the cause and is refused; zero means DefaultThreshold.
 	Threshold int
 
 	mu         sync.Mutex
@@ -51,8 +51,9 @@
 	refusedUntil time.Time
 }
 
-// RecordLoss records that a request was in flight when a target run was lost, and reports whether the loss is new. One
-// run counts once, however often it is reported.
+// RecordLoss records that a request was in flight when a target run was lost, and reports whether the loss is new
+// and was counted. One run counts once, however often it is reported. While the table is full, losses of further
+// requests are not counted.
 func (q *Quarantiner) RecordLoss(now time.Time, f Fingerprint, run Run) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -100,8 +101,9 @@
 	return q.countLosses(now, s)
 }
 
-// RecordSuccess records a success and clears the losses of the request: a request that crashes its targets never
-// succeeds, while one that was only in flight on the same target soon does. It reports whether there were any losses.
+// RecordSuccess records a success and clears the losses and the refusal of the request: a request that crashes its
+// targets never succeeds, while one that was only in flight on the same target soon does. It reports whether there was
+// anything to clear.
 func (q *Quarantiner) RecordSuccess(now time.Time, f Fingerprint) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
