--- a/core/budgeter/budgeter.go
+++ b/core/budgeter/budgeter.go
@@ -16,8 +16,8 @@
 	buckets = 10
 )
 
-// Budget counts one service's requests and retries at one instance. Its zero value is ready to use. It is not safe for
-// concurrent use.
+// Budget counts one service's requests and retries at one entry instance. Its zero value is ready to use. It is not
+// safe for concurrent use.
 type Budget struct {
 	requests [buckets]float64
 	retries  [buckets]float64
