--- a/core/tuner/tuner.go
+++ b/core/tuner/tuner.go
@@ -24,7 +24,7 @@
 }
 
 // SetBounds sets the range of the limit, from one request to highest. share is this instance's even part of the
-// service's slots; the first call sets the limit to it.
+// service's slots, and highest adds those of other instances that it may use. The first call sets the limit to share.
 func (t *Tuner) SetBounds(share, highest int) {
 	t.minimum = scale
 	t.maximum = int64(max(1, highest)) * scale
@@ -37,8 +37,8 @@
 // Limit returns the current limit in requests.
 func (t *Tuner) Limit() int { return int(t.limit / scale) }
 
-// RecordSuccess records a success; full says whether the limit was in use. Successes at the limit raise it by about one
-// request for each limit's worth of them.
+// RecordSuccess records a success; full says whether as many requests as the limit were running. As many such successes
+// as the limit raise it by about one request; others do not change it.
 func (t *Tuner) RecordSuccess(full bool) {
 	if !full || t.limit == 0 {
 		return
