--- a/core/messenger/messenger.go
+++ b/core/messenger/messenger.go
@@ -68,7 +68,7 @@
 
 // Codec reads and writes calls and replies in the format of one interface.
 type Codec interface {
-	// Call reads the routing information from a caller's request; now is the time that relative deadlines start at.
+	// Call reads the routing information from a caller's request; now is the time from which relative deadlines count.
 	Call(r *http.Request, now time.Time) (Call, error)
 	// SetTargetHeaders writes the destination into a request's header and removes what the target must not receive.
 	SetTargetHeaders(h http.Header, to Destination, now time.Time)
