--- a/core/mapper/mapper.go
+++ b/core/mapper/mapper.go
@@ -20,8 +20,8 @@
 	Site   Site
 }
 
-// Table maps addresses to sites. It is immutable and holds the start of every range of addresses of one site, in 6
-// bytes for IPv4 and 10 bytes for IPv6, of which only the upper 64 bits are compared.
+// Table maps addresses to sites. It is immutable and holds the start and the site of every range of addresses, in 6
+// bytes for IPv4 and in 10 bytes for IPv6, of whose addresses only the upper 64 bits are compared.
 type Table struct {
 	starts4 []uint32
 	sites4  []Site
--- a/core/mapper/mapper_test.go
+++ b/core/mapper/mapper_test.go
@@ -57,8 +57,8 @@
 	}
 }
 
-// A block ends with the last address of the address space. The table wrapped around there, and clients at both ends of
-// the address space were sent to the wrong region.
+// Guards against a table that wraps around where a block ends with the last address of the address space: clients at
+// both ends of the address space were sent to the wrong region.
 func TestEndsOfAddressSpace(t *testing.T) {
 	is := is.New(t)
 	table := Build([]Block{
