--- a/core/securer/securer.go
+++ b/core/securer/securer.go
@@ -14,7 +14,7 @@
 type Files struct {
 	Certificate string
 	Key         string
-	// Authority holds the certificates that verify the other side; on a listener it makes client certificates
+	// Authority is the file of the certificates that verify the other side; on a listener it makes client certificates
 	// mandatory.
 	Authority string
 }
