--- a/core/dialer/dialer.go
+++ b/core/dialer/dialer.go
@@ -17,8 +17,9 @@
 	// second.
 	dialTimeout    = 1500 * time.Millisecond
 	maxIdlePerHost = 16
-	// pingAfter and pingTimeout close a connection that receives nothing. Without them, every call on a connection
-	// whose state was lost between the two ends would get no response until the kernel times out, minutes later.
+	// pingAfter is how long a connection receives nothing before it is pinged, and pingTimeout how long it is then kept
+	// without an answer. Without pings, every call on a connection whose state was lost between the two ends would get
+	// no response until the kernel times out, minutes later.
 	pingAfter   = 2 * time.Second
 	pingTimeout = 2 * time.Second
 )
