--- a/core/listener/listener.go
+++ b/core/listener/listener.go
@@ -95,8 +95,8 @@
 }
 
 // CallerDisconnected reports whether the caller of the request with context ctx has closed its connection. It also
-// checks the socket, as the server detects the close only some time after it has read the request: if the process was
-// suspended meanwhile, both were waiting in the kernel.
+// checks the socket, as the server detects the close only some time after it has read the request. When the process
+// resumes after a suspension, both may be waiting in the kernel.
 func CallerDisconnected(ctx context.Context) bool {
 	if ctx.Err() != nil {
 		return true
