--- a/core/kernel/kernel.go
+++ b/core/kernel/kernel.go
@@ -52,7 +52,7 @@
 }
 
 // Run starts all services, waits until ctx ends or a service fails, and stops the started services. It returns the
-// error that ended it joined with those of stopping.
+// error of starting or of the failed service, joined with those of stopping.
 func (k *Kernel) Run(ctx context.Context) error {
 	err := k.start(ctx)
 	if err == nil {
