--- a/core/keeper/keeper.go
+++ b/core/keeper/keeper.go
@@ -47,7 +47,8 @@
 
 // Apply applies one committed command and returns its result.
 func (k *Keeper) Apply(c *wire.Command) *wire.Result {
-	// The clocks of successive leaders differ. If time went backwards, an expired key of a claim would become valid again.
+	// The clocks of successive leaders differ. If time went backwards, an expired key of a claim would become valid
+	// again.
 	k.clock = max(k.clock, c.GetAt())
 	now := time.UnixMilli(k.clock)
 	switch {
