--- a/core/planner/patch.go
+++ b/core/planner/patch.go
@@ -61,10 +61,10 @@
 	return out
 }
 
-// mergeIndexes merges named items and returns the indexes of the result. The parameter all is the number of items; the
-// first ones, as many as old says, are the old ones, and the others come from a patch. A patched item replaces the old
-// one of the same name, others are appended, and old items that are removed and not patched are omitted. Of patched
-// items with the same name, the last one is used.
+// mergeIndexes merges named items and returns the indexes of the result. The items are numbered from 0 to all-1: those
+// below old are the old ones, and the others come from a patch. A patched item replaces the old one of the same name,
+// others are appended, and old items that are removed and not patched are omitted. Of patched items with the same name,
+// the last one is used.
 func mergeIndexes(old, all int, name func(int) string, removed []string) []int {
 	isRemoved := map[string]bool{}
 	for _, n := range removed {
--- a/core/planner/planner.go
+++ b/core/planner/planner.go
@@ -11,12 +11,12 @@
 	"chervilrail.example/core/wire"
 )
 
-// maxAimExcess is the excess of a route's aim, its target latency, over its timeout from which a plan is refused.
-// Operators lower time-outs for a while without changing the aims, so a small excess is accepted. A minute or more can
-// only result from a wrong unit.
+// maxAimExcess is how far a route's aim, the time within which a response is on time, has to lie above its timeout for
+// the plan to be refused. Operators lower time-outs for a while without changing the aims, so a smaller excess is
+// accepted. A minute or more can only result from a wrong unit.
 const maxAimExcess = time.Minute
 
-// Check returns a PlanError if a plan can't be put in force.
+// Check returns a *PlanError if a plan can't be put in force.
 func Check(p *wire.Plan) error {
 	services, err := checkServices(p.GetServices())
 	if err != nil {
--- a/core/planner/splitter.go
+++ b/core/planner/splitter.go
@@ -7,7 +7,7 @@
 // largest deficit keeps them within one request. The zero value is ready to use. A Splitter is not safe for concurrent
 // use.
 type Splitter struct {
-	// deficits holds, by service, its share of the requests so far by weight, less the requests that it received.
+	// deficits holds, for each service, its share of the requests so far by weight, less the requests that it received.
 	deficits map[string]float64
 }
 
