--- a/core/balancer/balancer.go
+++ b/core/balancer/balancer.go
@@ -11,7 +11,7 @@
 const (
 	// MaxReportAge is the age from which a reported load is ignored.
 	MaxReportAge = 3 * time.Second
-	// WarmUpTime is how long the limit of a new target grows until all its slots are used.
+	// WarmUpTime is the time over which the limit of a new target grows to all its slots.
 	WarmUpTime = 10 * time.Second
 
 	// ejectionThreshold is the number of consecutive failures from which a target is ejected: for minEjection at first,
@@ -19,21 +19,21 @@
 	ejectionThreshold = 3
 	minEjection       = time.Second
 	maxEjection       = 30 * time.Second
-	// maxEjectedPercent is the highest percentage of a tier that may be ejected. Beyond it, the fault is more likely
-	// with this instance or its network than with the targets.
+	// maxEjectedPercent is the percentage of ejected targets in a tier above which ejections are ignored: the fault is
+	// then more likely with this instance or its network than with the targets.
 	maxEjectedPercent = 50
 	percent           = 100
 	// scale is the fixed-point factor for fractions of a slot.
 	scale = 1024
 )
 
-// Report is the load that a target reported about itself, in the unit of its slots, and when.
+// Report is the load that a target reported about itself, in slots, and when.
 type Report struct {
 	Load int32
 	At   time.Time
 }
 
-// Target is one back end as seen by this instance.
+// Target is a target of a service, with what this instance has recorded about it.
 type Target struct {
 	Name        string
 	Incarnation uint64
@@ -41,7 +41,8 @@
 	Region      string
 	Zone        string
 	Slots       int32
-	// FirstSeen is when this incarnation of the target was first seen. Its cache is cold at that time.
+	// FirstSeen is when this incarnation of the target was first seen. Its cache is cold at that time. The zero time marks
+	// a target as warm.
 	FirstSeen time.Time
 
 	// ownSlots is how many of the slots are assigned to this instance.
@@ -127,8 +128,9 @@
 	return min(u.OwnSlots()+1, u.Slots)
 }
 
-// cost returns the outstanding requests per slot, by which targets are compared. A fresh report only breaks ties: all
-// instances receive the same report, and would otherwise choose the same target at the same time.
+// cost returns the outstanding requests per own slot, multiplied by the square of scale, by which targets are compared.
+// A fresh report only breaks ties: all instances receive the same report, and would otherwise choose the same target at
+// the same time.
 func (u *Target) cost(now time.Time) int64 {
 	slots := int64(max(1, u.OwnSlots()))
 	cost := int64(u.outstanding.Load()) * scale * scale / slots
@@ -190,7 +192,7 @@
 	return out
 }
 
-// Balancer chooses targets. Set Random to a source of uniformly distributed 64-bit numbers before use. It has to be
+// Balancer chooses targets. Set Random to a source of uniformly distributed 64-bit numbers before use. Random has to be
 // safe for concurrent use if the Balancer is used concurrently.
 type Balancer struct {
 	Random func() uint64
--- a/core/balancer/balancer_test.go
+++ b/core/balancer/balancer_test.go
@@ -25,15 +25,15 @@
 func TestSlotsAreNeverExceeded(t *testing.T) {
 	is := is.New(t)
 	p, b := pool(5, 3), balancer(1)
-	var taken []*Target
+	var chosen []*Target
 	for range 15 {
 		u := b.Choose(start, p, "almaty", nil)
 		is.True(u != nil) // every free slot is found
-		taken = append(taken, u)
+		chosen = append(chosen, u)
 	}
 	is.Equal(b.Choose(start, p, "almaty", nil), nil)
-	taken[0].Release()
-	is.Equal(b.Choose(start, p, "almaty", nil), taken[0])
+	chosen[0].Release()
+	is.Equal(b.Choose(start, p, "almaty", nil), chosen[0])
 }
 
 // leastReported is a naive balancer that chooses the target with the lowest reported load.
