--- a/controller/internal/allocator/allocator.go
+++ b/controller/internal/allocator/allocator.go
@@ -1,5 +1,5 @@
-// Package allocator answers entry instances' requests for parts of organisations' quotas. Any controller takes them:
-// the leader allots, others forward the request to it.
+// Package allocator answers entry instances' requests for parts of organisations' quotas. Any controller accepts them:
+// the leader allots the parts itself, others forward the request to it.
 package allocator
 
 import (
@@ -42,7 +42,8 @@
 		response, err = a.forward(ctx, r.Msg)
 	}
 	if err != nil {
-		_ = level.Debug(a.Logger).Log("msg", "parts of quotas not allotted", "holder", r.Msg.GetHolder().GetName(), "err", err)
+		_ = level.Debug(a.Logger).Log("msg", "parts of quotas not allotted",
+			"holder", r.Msg.GetHolder().GetName(), "err", err)
 		return nil, connect.NewError(connect.CodeUnavailable, err)
 	}
 	return connect.NewResponse(response), nil
