--- a/controller/internal/selector/selector.go
+++ b/controller/internal/selector/selector.go
@@ -1,4 +1,4 @@
-// Package selector chooses the entry instances that a client is to use.
+// Package selector chooses the entry instances that a client should use.
 package selector
 
 import (
@@ -15,8 +15,8 @@
 // some clients cache answers three times as long as they may.
 const answerTTL = 2 * time.Second
 
-// maxAnswers is how many entry instances one answer contains at most: as many as clients use of one.
-const maxAnswers = 64
+// maxInstances is the maximum number of entry instances in one answer. Clients use no more than that of an answer.
+const maxInstances = 64
 
 // InstanceLister lists the recently observed entry instances.
 type InstanceLister interface {
@@ -76,11 +76,11 @@
 }
 
 // truncate returns maxAnswers instances at most, starting at a place in the list that differs between clients. If all
-// clients got the start of the list, these instances would carry all load while the others are idle.
+// clients got the start of the list, the instances there would carry all load while the others are idle.
 func truncate(client netip.Addr, list []netip.AddrPort) []netip.AddrPort {
-	if len(list) <= maxAnswers {
+	if len(list) <= maxInstances {
 		return list
 	}
 	at := int(xxhash.Sum64(client.AsSlice()) % uint64(len(list)))
-	return slices.Concat(list[at:], list[:at])[:maxAnswers]
+	return slices.Concat(list[at:], list[:at])[:maxInstances]
 }
--- a/controller/internal/selector/selector_test.go
+++ b/controller/internal/selector/selector_test.go
@@ -38,8 +38,8 @@
 	return out
 }
 
-// Guards against selecting the same instances for all clients in a region with more instances than one answer holds:
-// these would be overloaded and refuse requests while the others are idle.
+// Guards against selecting the same instances for all clients of a region that has more instances than fit in one
+// answer: these would be overloaded and refuse requests while the others are idle.
 func TestAllInstancesAreSelected(t *testing.T) {
 	for _, count := range []int{1, 27, 64, 100, 300} {
 		t.Run(fmt.Sprint(count), func(t *testing.T) {
@@ -47,7 +47,7 @@
 			counts := countSelected(&Selector{InstanceLister: instances("r", count)}, "r", 2000)
 			is.Equal(len(counts), count)
 			for _, n := range counts {
-				is.True(n > 2000*min(count, maxAnswers)/count/3)
+				is.True(n > 2000*min(count, maxInstances)/count/3)
 			}
 		})
 	}
