--- a/controller/internal/changer/changer.go
+++ b/controller/internal/changer/changer.go
@@ -1,5 +1,5 @@
-// Package changer applies operators' changes of the routing state. Any controller takes them: the leader proposes them
-// itself, others forward them to it.
+// Package changer applies operators' changes of the routing state. Any controller accepts them: the leader proposes
+// them itself, others forward them to it.
 package changer
 
 import (
@@ -69,7 +69,7 @@
 }
 
 // Evacuate keeps requests away from the targets of an availability zone if on is true, and ends that otherwise. After
-// an error the command may or may not be executed.
+// an error the command may or may not take effect, and the caller has to retry it.
 func (c *Changer) Evacuate(ctx context.Context, zone string, on bool) error {
 	_, err := c.run(ctx, "evacuate", &wire.Command{Evacuation: &wire.Evacuation{Zone: zone, On: on}})
 	return err
