--- a/controller/internal/courier/courier.go
+++ b/controller/internal/courier/courier.go
@@ -23,8 +23,8 @@
 	queueLength = 1024
 	maxBatch    = 128
 	callTimeout = 2 * time.Second
-	// callsPerPeer is how many calls to one controller may be in flight at once. A call that hangs on a connection
-	// without answers then does not delay the heartbeats behind it.
+	// callsPerPeer is how many calls to one controller may be in flight at once. With several of them, a call that
+	// hangs on an unresponsive connection does not delay the heartbeats queued behind it.
 	callsPerPeer = 3
 )
 
@@ -109,7 +109,8 @@
 	}
 }
 
-// nextBatch waits for a message and returns it with others that are queued, up to maxBatch; false if the service stops.
+// nextBatch waits for a message and returns it with others that are queued, at most maxBatch. It returns false if the
+// service stops.
 func (c *Courier) nextBatch(q chan *wire.Message) ([]*wire.Message, bool) {
 	var batch []*wire.Message
 	select {
