--- a/controller/internal/server/server.go
+++ b/controller/internal/server/server.go
@@ -110,7 +110,7 @@
 
 func (*tokenError) Error() string { return "the operator token is missing or wrong" }
 
-// Deliver implements the replicator's messages between controllers.
+// Deliver implements the call with which other controllers deliver the replicator's messages.
 func (s *Server) Deliver(
 	ctx context.Context, r *connect.Request[wire.DeliverRequest],
 ) (*connect.Response[wire.DeliverResponse], error) {
@@ -149,7 +149,7 @@
 	return connect.NewResponse(&wire.ClaimResponse{Result: result.GetClaim()}), nil
 }
 
-// Settle implements settling a claim in the ledger.
+// Settle implements the settling of claims in the ledger.
 func (s *Server) Settle(
 	ctx context.Context, r *connect.Request[wire.SettleRequest],
 ) (*connect.Response[wire.SettleResponse], error) {
