--- a/controller/internal/config/config.go
+++ b/controller/internal/config/config.go
@@ -50,16 +50,16 @@
 	// optional.
 	Callers   netip.AddrPort
 	Directory netip.AddrPort
-	// MaxVoters is how many controllers vote. Bootstrap is set if this start founds the group, with exactly the peers
-	// as its members.
+	// MaxVoters is how many controllers vote at most. Bootstrap is set if this start founds the group, with exactly the
+	// peers as its members.
 	MaxVoters int
 	Bootstrap bool
 	// Regions maps each availability zone to its region.
 	Regions map[string]string
 
 	// Election is the election timeout, Heartbeat the interval of the leader's heartbeats. ReplaceAfter is how long a
-	// voter must be silent before a new disk of the same name replaces it. Lease is the lease duration of entry
-	// instances and their grants. StopTimeout bounds a planned stop.
+	// controller must be silent before it may be replaced or removed. Lease is the lease duration of entry instances
+	// and their grants. StopTimeout bounds a planned stop.
 	Election     time.Duration
 	Heartbeat    time.Duration
 	ReplaceAfter time.Duration
@@ -214,7 +214,7 @@
 	c.Peers[name] = parsed
 }
 
-// check sets defaults and validates what concerns more than one key.
+// check sets the defaults of missing sections and validates settings that depend on each other or on other files.
 func (c *Config) check(d *parser.Document) {
 	c.setDefaults()
 	if c.MaxVoters == 0 {
