--- a/controller/internal/cli/cli.go
+++ b/controller/internal/cli/cli.go
@@ -162,7 +162,8 @@
 		Fatal:  fatal,
 	}
 	exchange := &exchanger.Exchanger{
-		Self: settings.Name, Region: settings.Region, Consensus: consensus, Dialer: &dialer.Dialer{Keys: controlKeys, HTTP1Only: true},
+		Self: settings.Name, Region: settings.Region, Consensus: consensus,
+		Dialer:    &dialer.Dialer{Keys: controlKeys, HTTP1Only: true},
 		HostStore: &storer.HostStore{Folder: settings.Folder}, Logger: logs,
 	}
 	consensus.OnRoutingChange = exchange.NotifyWatchers
