--- a/railctl/internal/cli/status.go
+++ b/railctl/internal/cli/status.go
@@ -132,8 +132,9 @@
 	}
 	fmt.Fprintln(t, "\nENTRY\tADDRESS\tREGION\tZONE\tNUMBER\tSTATE")
 	for _, instance := range status.GetNodes() {
-		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%d\t%s\n", instance.GetName(), instance.GetCaller(), instance.GetRegion(), instance.GetZone(),
-			instance.GetNumber(), choose(instance.GetLost(), "lost", choose(instance.GetLeaving(), "leaving", "ok")))
+		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%d\t%s\n", instance.GetName(), instance.GetCaller(), instance.GetRegion(),
+			instance.GetZone(), instance.GetNumber(),
+			choose(instance.GetLost(), "lost", choose(instance.GetLeaving(), "leaving", "ok")))
 	}
 	fmt.Fprintln(t, "\nLIMIT\tCAP\tGRANTED")
 	for _, l := range status.GetLimits() {
