--- a/standin/internal/starter/starter.go
+++ b/standin/internal/starter/starter.go
@@ -311,9 +311,9 @@
 }
 
 // StartTarget starts a target and passes it the addresses of all started entry instances for its announcements.
-func (s *System) StartTarget(b TargetSettings) (*Process, error) {
+func (s *System) StartTarget(settings TargetSettings) (*Process, error) {
 	i := len(s.Targets)
-	p, err := s.startTarget(i, b)
+	p, err := s.startTarget(i, settings)
 	if err == nil {
 		s.Targets = append(s.Targets, p)
 	}
@@ -321,15 +321,15 @@
 }
 
 // RestartTarget starts target i again under the same name, with a new incarnation.
-func (s *System) RestartTarget(i int, b TargetSettings) error {
-	p, err := s.startTarget(i, b)
+func (s *System) RestartTarget(i int, settings TargetSettings) error {
+	p, err := s.startTarget(i, settings)
 	if err == nil {
 		s.Targets[i] = p
 	}
 	return err
 }
 
-func (s *System) startTarget(i int, b TargetSettings) (*Process, error) {
+func (s *System) startTarget(i int, settings TargetSettings) (*Process, error) {
 	name := fmt.Sprintf("u%d", i+1)
 	address := s.address(targetNet, i)
 	place := s.place(i)
@@ -338,9 +338,9 @@
 		entries = append(entries, fmt.Sprintf("%s:%d", e.Address, AnnouncementPort))
 	}
 	return s.Start(name, "standin", address, "target",
-		"--name", name, "--service", b.Service, "--address", fmt.Sprintf("%s:%d", address, ServicePort),
-		"--region", place.Region, "--zone", place.Zone, "--slots", fmt.Sprint(b.Slots),
-		"--work", b.Work.String(), "--entries", strings.Join(entries, ","))
+		"--name", name, "--service", settings.Service, "--address", fmt.Sprintf("%s:%d", address, ServicePort),
+		"--region", place.Region, "--zone", place.Zone, "--slots", fmt.Sprint(settings.Slots),
+		"--work", settings.Work.String(), "--entries", strings.Join(entries, ","))
 }
 
 // OperatorAddresses returns the operator addresses of all controllers, separated by commas.
