--- a/standin/internal/backend/announcer.go
+++ b/standin/internal/backend/announcer.go
@@ -46,7 +46,7 @@
 }
 
 // Announce sends an announcement to the entry instances in turn until one accepts it, starting with the one that
-// accepted the last. It reports whether an entry instance accepted it.
+// accepted the previous announcement. It reports whether an entry instance accepted it.
 func (a *Announcer) Announce(state string) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
