--- a/standin/internal/loader/caller.go
+++ b/standin/internal/loader/caller.go
@@ -32,7 +32,7 @@
 	entries  []string
 }
 
-// Request is a request to send. Key is its idempotency key; empty fields send no header.
+// Request is a request to send. Key is its idempotency key. If Organisation or Key is empty, its header is not sent.
 type Request struct {
 	Method       string
 	Path         string
