--- a/standin/internal/soaker/checker.go
+++ b/standin/internal/soaker/checker.go
@@ -21,7 +21,7 @@
 	drainSlack = 300 * time.Millisecond
 )
 
-// checker collects the observations of callers, targets and the operator, and the guarantees that they violate.
+// checker collects what callers, targets and the operator observe, and the violations of guarantees.
 type checker struct {
 	mu         sync.Mutex
 	violations []string
@@ -30,9 +30,10 @@
 	notRun        map[string]int
 	nonRepeatable map[string]bool
 	sent          int
-	whole         int
-	acked         int
-	departures    []departure
+	complete      int
+	// acked is the newest version of the plan whose change was acknowledged.
+	acked      int
+	departures []departure
 }
 
 // departure is a target whose departure was acknowledged. An exempt departure is not checked for late requests.
@@ -42,12 +43,14 @@
 	exempt  bool
 }
 
+// fail records a violation.
 func (w *checker) fail(format string, args ...any) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.note(format, args...)
 }
 
+// note records a violation while the caller holds mu.
 func (w *checker) note(format string, args ...any) {
 	if len(w.violations) < maxViolations {
 		w.violations = append(w.violations, fmt.Sprintf(format, args...))
@@ -66,7 +69,8 @@
 		w.nonRepeatable[a.ID] = true
 	}
 	switch a.Status {
-	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
+	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout,
+		http.StatusMisdirectedRequest:
 		w.notRun[a.ID] = a.Status
 	case http.StatusNotFound, http.StatusBadRequest:
 		w.note("%s was denied with %d", a.ID, a.Status)
@@ -78,7 +82,7 @@
 	if !a.Complete {
 		return
 	}
-	w.whole++
+	w.complete++
 	if !strings.Contains(a.Body, " "+method+" "+path+" ") {
 		w.note("%s requested %s %s and received %q", a.ID, method, path, a.Body)
 	}
@@ -156,8 +160,8 @@
 			w.note("%s received a request %s after its departure was acknowledged", d.target.ID, late)
 		}
 	}
-	if w.whole < w.sent/2 {
-		w.note("only %d of %d requests were served", w.whole, w.sent)
+	if w.complete < w.sent/2 {
+		w.note("only %d of %d requests were served", w.complete, w.sent)
 	}
 	floor := w.acked
 	w.mu.Unlock()
--- a/standin/internal/soaker/faults.go
+++ b/standin/internal/soaker/faults.go
@@ -35,7 +35,8 @@
 	s.startedTargets++
 	relay := &relayer.Relay{}
 	t := &relayedTarget{relay: relay, Target: &speaker.Target{
-		ID: fmt.Sprintf("t%d", s.startedTargets), Service: service, Zone: s.system.Places[s.startedTargets%len(s.system.Places)].Zone,
+		ID: fmt.Sprintf("t%d", s.startedTargets), Service: service,
+		Zone:  s.system.Places[s.startedTargets%len(s.system.Places)].Zone,
 		Slots: 3, Work: targetWork, Controllers: s.system.PlatformURLs(),
 		MapAddress: func(address string) (string, error) {
 			relay.Target = address
@@ -151,7 +152,7 @@
 	}
 }
 
-// freeze suspends an entry instance for a duration. Its requests in flight reach targets late.
+// freeze suspends an entry instance for a duration. Its requests in flight may reach targets late.
 func (s *Soak) freeze(p *starter.Process, duration time.Duration) {
 	s.checker.recordFreeze()
 	p.Freeze()
--- a/standin/internal/soaker/soaker.go
+++ b/standin/internal/soaker/soaker.go
@@ -51,10 +51,10 @@
 }
 
 // Counts returns the number of requests sent, and how many of them received the complete answer of a target.
-func (s *Soak) Counts() (sent, whole int) {
+func (s *Soak) Counts() (sent, complete int) {
 	s.checker.mu.Lock()
 	defer s.checker.mu.Unlock()
-	return s.checker.sent, s.checker.whole
+	return s.checker.sent, s.checker.complete
 }
 
 // Run runs the schedule and returns the violated guarantees. It returns a *StartError if the system does not serve
@@ -99,7 +99,8 @@
 	operator := s.operator()
 	c := s.client(0)
 	for deadline := time.Now().Add(startTimeout); time.Now().Before(deadline); time.Sleep(callerPause) {
-		if operator.Put(ctx, speaker.Plan(1, 0, service)) == http.StatusOK && c.Send(ctx, http.MethodGet, "/safe/0", "k", "").Complete {
+		if operator.Put(ctx, speaker.Plan(1, 0, service)) == http.StatusOK &&
+			c.Send(ctx, http.MethodGet, "/safe/0", "k", "").Complete {
 			s.checker.acked = 1
 			return nil
 		}
@@ -132,8 +133,8 @@
 	}
 }
 
-// changePlans submits new versions of the plan until ctx is done. It resends a version until it is accepted or refused
-// with a 4xx status, then reads the plan back.
+// changePlans submits new versions of the plan until ctx is done. It resends a version that got no clear answer until
+// it is accepted, then reads the plan back. A refusal with a 4xx status is a violation and ends it.
 func (s *Soak) changePlans(ctx context.Context) {
 	operator := s.operator()
 	for version := 2; ctx.Err() == nil; version++ {
