--- a/standin/internal/trials/control_test.go
+++ b/standin/internal/trials/control_test.go
@@ -14,7 +14,8 @@
 	"chervilrail.example/core/wire"
 )
 
-// killRounds returns how often a controller is killed. The environment variable CHERVILRAIL_ROUNDS sets another number.
+// killRounds returns how often a controller is killed. The environment variable CHERVILRAIL_ROUNDS sets another number;
+// make soak uses it for more rounds.
 func killRounds() int {
 	if n, err := strconv.Atoi(os.Getenv("CHERVILRAIL_ROUNDS")); err == nil {
 		return n
--- a/standin/internal/trials/limits_test.go
+++ b/standin/internal/trials/limits_test.go
@@ -22,7 +22,7 @@
 		group.Go(func() {
 			c := &loader.Caller{Service: "listings"}
 			for time.Since(started) < duration {
-				ctx, cancel := context.WithTimeout(context.Background(), patience)
+				ctx, cancel := context.WithTimeout(context.Background(), timeout)
 				c.SendTo(ctx, s.CallerURL(i%len(s.Entries)), loader.Request{Method: http.MethodGet, Path: "/events"})
 				cancel()
 			}
--- a/standin/internal/trials/linear_test.go
+++ b/standin/internal/trials/linear_test.go
@@ -55,7 +55,7 @@
 
 // readNumber calls the controllers in turn, from index at on, until one that holds the read lease answers.
 func readNumber(s *starter.System, at int) (uint64, bool) {
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(timeout)
 	for ; time.Now().Before(deadline); at++ {
 		i := at % len(s.Controllers)
 		ctx, cancel := context.WithTimeout(context.Background(), 500*time.Millisecond)
--- a/standin/internal/trials/organisations_test.go
+++ b/standin/internal/trials/organisations_test.go
@@ -29,7 +29,9 @@
 	t.Helper()
 	plan, err := speaker.KeyedPlan(version, version-1, service, list...)
 	is.New(t).NoErr(err)
-	until(t, "organisations are in force", func() bool { return f.operator.Put(context.Background(), plan) == http.StatusOK })
+	until(t, "organisations are in force", func() bool {
+		return f.operator.Put(context.Background(), plan) == http.StatusOK
+	})
 }
 
 // loadWithKey sends requests with a key from several callers. The returned function stops them and returns all answers.
@@ -49,7 +51,7 @@
 // maxRunsInWindow returns the highest number of runs of an organisation in any window of quotaWindow.
 func maxRunsInWindow(starts []speaker.Start, organisation string) int {
 	var at []time.Time
-	most, first := 0, 0
+	maxRuns, first := 0, 0
 	for _, s := range starts {
 		if s.Organisation != organisation {
 			continue
@@ -58,9 +60,9 @@
 		for s.At.Sub(at[first]) >= quotaWindow {
 			first++
 		}
-		most = max(most, len(at)-first)
+		maxRuns = max(maxRuns, len(at)-first)
 	}
-	return most
+	return maxRuns
 }
 
 // Guards against quotas that are exceeded or used by less than 80% while controllers and entry instances are killed
@@ -91,10 +93,10 @@
 	stopOther()
 	lasted := time.Since(started)
 	starts := f.starts()
-	most := maxRunsInWindow(starts, "acme")
-	t.Logf("%d runs in %v, at most %d of acme in a window", len(starts), lasted, most)
-	is.True(most <= quotaRate*int(quotaWindow.Seconds())+quotaBurst)
-	is.True(most > quotaRate*int(quotaWindow.Seconds())*8/10)
+	maxRuns := maxRunsInWindow(starts, "acme")
+	t.Logf("%d runs in %v, at most %d of acme in a window", len(starts), lasted, maxRuns)
+	is.True(maxRuns <= quotaRate*int(quotaWindow.Seconds())+quotaBurst)
+	is.True(maxRuns > quotaRate*int(quotaWindow.Seconds())*8/10)
 	for _, s := range starts[1:] {
 		is.True(!s.Keyed)
 	}
--- a/standin/internal/trials/platform_test.go
+++ b/standin/internal/trials/platform_test.go
@@ -162,7 +162,9 @@
 		time.Sleep(2 * time.Second)
 		is.True(f.targets[1].LastRequest().Sub(acked) < time.Second)
 		is.Equal(f.operator.Evacuate(ctx, zone, false), http.StatusOK)
-		until(t, "the evacuated zone is used again", func() bool { return f.targets[1].LastRequest().After(acked.Add(2 * time.Second)) })
+		until(t, "the evacuated zone is used again", func() bool {
+			return f.targets[1].LastRequest().After(acked.Add(2 * time.Second))
+		})
 		f.check(t, stop())
 	})
 	t.Run("entry instances are stopped and reloaded in turn", func(t *testing.T) {
@@ -171,9 +173,11 @@
 		for i, e := range f.Entries {
 			is.NoErr(syscall.Kill(e.PID(), syscall.SIGHUP))
 			time.Sleep(200 * time.Millisecond)
-			is.NoErr(e.Stop(patience))
+			is.NoErr(e.Stop(timeout))
 			is.NoErr(f.StartPlatformEntry(i))
-			until(t, "the entry instance is ready", func() bool { return speaker.Ready(context.Background(), f.ReadyAddress(i)) })
+			until(t, "the entry instance is ready", func() bool {
+				return speaker.Ready(context.Background(), f.ReadyAddress(i))
+			})
 		}
 		f.check(t, stop())
 	})
@@ -203,7 +207,9 @@
 	time.Sleep(5 * time.Second)
 	f.Controllers[1].Kill()
 	f.Controllers[2].Kill()
-	until(t, "a change is accepted by the remaining controllers", func() bool { return f.operator.Put(ctx, speaker.Plan(8, 7, service)) == http.StatusOK })
+	until(t, "a change is accepted by the remaining controllers", func() bool {
+		return f.operator.Put(ctx, speaker.Plan(8, 7, service)) == http.StatusOK
+	})
 	is.Equal(f.operator.Version(ctx), "r8")
 }
 
@@ -223,10 +229,10 @@
 	time.Sleep(time.Second)
 	answers := stop()
 	f.checkOnce(t)
-	whole := 0
+	complete := 0
 	for _, a := range answers {
 		if a.Complete {
-			whole++
+			complete++
 		}
 		if a.Status == http.StatusServiceUnavailable {
 			for _, target := range f.targets {
@@ -234,5 +240,5 @@
 			}
 		}
 	}
-	is.True(whole > len(answers)*8/10)
+	is.True(complete > len(answers)*8/10)
 }
--- a/standin/internal/trials/soak_test.go
+++ b/standin/internal/trials/soak_test.go
@@ -28,13 +28,13 @@
 				Seed: seed, Length: 6 * time.Second, Programs: absolute, Folder: t.TempDir(), Net: byte(firstNet + usedNets.Add(1)),
 				Print: func(line string) { t.Log(line) },
 			}
-			broken, err := s.Run(context.Background())
+			violations, err := s.Run(context.Background())
 			is.NoErr(err)
-			for _, line := range broken {
+			for _, line := range violations {
 				t.Error(line)
 			}
-			sent, whole := s.Counts()
-			t.Logf("%d of %d requests served", whole, sent)
+			sent, complete := s.Counts()
+			t.Logf("%d of %d requests served", complete, sent)
 			is.True(sent > 100)
 		})
 	}
--- a/standin/internal/trials/system_test.go
+++ b/standin/internal/trials/system_test.go
@@ -25,7 +25,7 @@
 
 const (
 	programs = "../../../bin"
-	patience = 20 * time.Second
+	timeout  = 20 * time.Second
 	firstNet = 80
 )
 
@@ -91,7 +91,7 @@
 // until waits for a condition and fails the test if it is not met in time.
 func until(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(timeout)
 	for !condition() {
 		if time.Now().After(deadline) {
 			t.Fatalf("condition not met in time: %s", what)
@@ -150,9 +150,9 @@
 	return found
 }
 
-// apply sends a change to the controllers in turn until one returns a verdict, or nil if none does in time.
+// apply sends a change to the controllers in turn until one returns a verdict. It returns nil if none does in time.
 func apply(s *starter.System, change *wire.Change) *wire.Verdict {
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(timeout)
 	for i := 0; time.Now().Before(deadline); i++ {
 		at := i % len(s.Controllers)
 		if s.Controllers[at].Ended() {
@@ -203,14 +203,14 @@
 
 func get(s *starter.System, service string, entry int, path string) loader.Answer {
 	c := &loader.Caller{Service: service}
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	return c.SendTo(ctx, s.CallerURL(entry), loader.Request{Method: http.MethodGet, Path: path})
 }
 
 func book(s *starter.System, entry int, key, path, body string) loader.Answer {
 	c := &loader.Caller{Service: "bookings"}
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	return c.SendTo(ctx, s.CallerURL(entry), loader.Request{
 		Method: http.MethodPost, Path: path, Organisation: "dumpling-club", Key: key, Body: strings.NewReader(body),
--- a/standin/internal/trials/traffic_test.go
+++ b/standin/internal/trials/traffic_test.go
@@ -150,12 +150,12 @@
 		entries, err := c.Entries(context.Background())
 		return err == nil && len(entries) == 1 && entries[0] == s.CallerURL(1)
 	})
-	is.Equal(get(s, "listings", 0, "/events").Status, http.StatusOK) // callers with an older look-up answer are still served
+	is.Equal(get(s, "listings", 0, "/events").Status, http.StatusOK) // callers with an older answer are still served
 	group.Wait()
 	is.NoErr(upload.Err)
 	is.Equal(upload.Status, http.StatusOK)
 	is.True(strings.Contains(upload.Body, `"received":81920`))
-	is.NoErr(s.Entries[0].Wait(patience))
+	is.NoErr(s.Entries[0].Wait(timeout))
 }
 
 // A target announces that it leaves, and exits a few seconds later. Requests sent to it after that time would fail, and
@@ -181,7 +181,7 @@
 			}
 		})
 	}
-	is.NoErr(s.Targets[0].Stop(patience))
+	is.NoErr(s.Targets[0].Stop(timeout))
 	time.Sleep(200 * time.Millisecond)
 	close(stop)
 	group.Wait()
@@ -240,7 +240,7 @@
 	s := start(t, 1, 1)
 	startTargets(t, s, "listings", 1, time.Millisecond)
 	r := newRelay(t, s)
-	is.NoErr(s.Targets[0].Stop(patience))
+	is.NoErr(s.Targets[0].Stop(timeout))
 	until(t, "the entry instance uses the relay", func() bool {
 		return get(s, "listings", 0, "/events").Status == http.StatusOK && r.Count() > 0
 	})
