--- a/standin/internal/experimenter/policies.go
+++ b/standin/internal/experimenter/policies.go
@@ -114,8 +114,8 @@
 		tier.Targets[i].SetOwnSlots(n)
 	}
 	in.pool = &balancer.Pool{Tiers: []balancer.Tier{tier}}
-	own := in.pool.OwnSlots(w.now)
-	in.limit.SetBounds(own, own+in.pool.BorrowableSlots(w.now)/int(w.Entries))
+	ownSlots := in.pool.OwnSlots(w.now)
+	in.limit.SetBounds(ownSlots, ownSlots+in.pool.BorrowableSlots(w.now)/int(w.Entries))
 }
 
 // instances returns the entry instances as partitioner instances.
@@ -127,6 +127,7 @@
 	return out
 }
 
+// targetFor returns the instance's view of a simulated target. If there is none yet, it creates one.
 func (in *instance) targetFor(h *simulatedTarget) *balancer.Target {
 	for u, o := range in.targets {
 		if o == h {
@@ -200,6 +201,8 @@
 	o.attempt(w, in, t, c, nil)
 }
 
+// attempt sends a call to a target that has not been tried, or refuses the call if its deadline has passed. If the
+// balancer finds no target, it waits for retryPause and considers all targets again.
 func (o *systemPolicy) attempt(w *simulation, in *instance, t *admitter.Ticket, c *call, tried []*balancer.Target) {
 	if !c.deadline.IsZero() && !w.now.Before(c.deadline) {
 		w.refused(c)
@@ -243,7 +246,10 @@
 	})
 }
 
-func (o *systemPolicy) retryOrRefuse(w *simulation, in *instance, t *admitter.Ticket, c *call, tried []*balancer.Target) {
+// retryOrRefuse makes another attempt if the retry budget allows one, and refuses the call otherwise.
+func (o *systemPolicy) retryOrRefuse(
+	w *simulation, in *instance, t *admitter.Ticket, c *call, tried []*balancer.Target,
+) {
 	a := retrier.Attempt{Ending: retrier.Unrun, Replayable: true, Tries: c.tries}
 	if in.budget.AllowRetry(a) {
 		w.result.Retries++
--- a/standin/internal/experimenter/simulation.go
+++ b/standin/internal/experimenter/simulation.go
@@ -250,7 +250,7 @@
 	return cataloguer.Browse
 }
 
-// answered counts an answer, as failed if it arrives after the deadline of its call.
+// answered counts an answer to a call that has not ended yet, as failed if it arrives after the deadline of the call.
 func (w *simulation) answered(c *call) {
 	if c.ended {
 		return
