--- a/standin/internal/cli/cli.go
+++ b/standin/internal/cli/cli.go
@@ -160,7 +160,9 @@
 }
 
 func demoCommand() *cli.Command {
-	failures := &cli.BoolFlag{Name: "failures", Usage: "freeze a controller and kill an entry instance while requests are sent"}
+	failures := &cli.BoolFlag{
+		Name: "failures", Usage: "freeze a controller and kill an entry instance while requests are sent",
+	}
 	return &cli.Command{
 		Name:  "demo",
 		Usage: "start a local system, send requests of each class, and print the results",
--- a/standin/internal/cli/soak.go
+++ b/standin/internal/cli/soak.go
@@ -77,8 +77,9 @@
 	if err != nil {
 		return 0, err
 	}
-	sent, whole := s.Counts()
-	fmt.Printf("seed %d: %d guarantees violated, %d of %d requests served, logs in %s\n", seed, len(violations), whole, sent, folder)
+	sent, complete := s.Counts()
+	fmt.Printf("seed %d: %d guarantees violated, %d of %d requests served, logs in %s\n",
+		seed, len(violations), complete, sent, folder)
 	for _, line := range violations {
 		fmt.Println("  " + line)
 	}
