--- a/standin/internal/measurer/idle.go
+++ b/standin/internal/measurer/idle.go
@@ -25,7 +25,8 @@
 
 // measureIdle measures the CPU time and memory that the processes use without any requests from callers.
 func (m *measurer) measureIdle() error {
-	fmt.Fprintf(m.out, "\nControl alone, %d entry instances, %d targets, over %s\n\n", entries, len(m.system.Targets), idleTime)
+	fmt.Fprintf(m.out, "\nControl alone, %d entry instances, %d targets, over %s\n\n",
+		entries, len(m.system.Targets), idleTime)
 	fmt.Fprintln(m.out, "| role | share of a core, mean | busiest | resident memory, most |\n|---|---|---|---|")
 	roles := []struct {
 		name      string
--- a/standin/internal/measurer/measurer.go
+++ b/standin/internal/measurer/measurer.go
@@ -78,7 +78,9 @@
 	if err := m.start(); err != nil {
 		return err
 	}
-	for _, step := range []func() error{m.measureIdle, m.measureLatency, m.measureLookups, m.measureBookings, m.measureInForce, m.measureElections} {
+	for _, step := range []func() error{
+		m.measureIdle, m.measureLatency, m.measureLookups, m.measureBookings, m.measureInForce, m.measureElections,
+	} {
 		if err := step(); err != nil {
 			return err
 		}
@@ -140,7 +142,8 @@
 }
 
 func (m *measurer) printHeading(title string) {
-	fmt.Fprintf(m.out, "\n%s\n\n| what | count | p50 | p99 | p99.9 | worst | failed |\n|---|---|---|---|---|---|---|\n", title)
+	fmt.Fprintf(m.out, "\n%s\n\n| what | count | p50 | p99 | p99.9 | worst | failed |\n|---|---|---|---|---|---|---|\n",
+		title)
 }
 
 // measureLatency compares requests through an entry instance with requests sent directly to the target. The load is an
@@ -229,7 +232,9 @@
 	m.printHeading(fmt.Sprintf("Bookings, %d callers, claim and outcome synced on two of three disks", bookingCallers))
 	plain, failed, _ := m.closedLoop(loader.Request{Method: http.MethodGet, Path: "/", Organisation: "dumpling-club"})
 	m.printRow("GET of the same service", plain, failed)
-	claimed, failed, elapsed := m.closedLoop(loader.Request{Method: http.MethodPost, Path: "/rsvp", Organisation: "dumpling-club"})
+	claimed, failed, elapsed := m.closedLoop(loader.Request{
+		Method: http.MethodPost, Path: "/rsvp", Organisation: "dumpling-club",
+	})
 	m.printRow("booking", claimed, failed)
 	fmt.Fprintf(m.out, "\nadded: p50 %d µs; %.0f bookings/s (two commits each)\n",
 		claimed.ValueAtQuantile(50)-plain.ValueAtQuantile(50), float64(bookings-failed)/elapsed.Seconds())
@@ -271,6 +276,8 @@
 	return wireconnect.NewOperateClient(http.DefaultClient, "http://"+address.String())
 }
 
+// status returns the leader's status, or nil if no leader answers. It does not call the controller with index skip; -1
+// skips none.
 func (m *measurer) status(skip int) *wire.StatusResponse {
 	for i := range m.system.Controllers {
 		if i == skip {
@@ -286,6 +293,7 @@
 	return nil
 }
 
+// apply sends the next change until it is accepted, but not to the controller with index skip.
 func (m *measurer) apply(skip int) error {
 	m.number++
 	text := fmt.Sprintf("%s\n; change %d\n", m.catalogue, m.number)
@@ -335,6 +343,8 @@
 	return nil
 }
 
+// timeInForce applies changes and returns the times until they were in force, in microseconds. It does not call the
+// controller with index skip.
 func (m *measurer) timeInForce(skip int) (*hdrhistogram.Histogram, error) {
 	h := newHistogram()
 	for range changes {
