--- a/standin/internal/sloper/measures.go
+++ b/standin/internal/sloper/measures.go
@@ -48,7 +48,7 @@
 	return out
 }
 
-// clientBlocks measures the table of client blocks up to its full target size.
+// clientBlocks measures the table of client blocks up to the full size that the system is designed for.
 func clientBlocks() []*Series {
 	memory := &Series{Name: "client-block table, memory", Unit: "bytes", Per: "block"}
 	find := &Series{Name: "client-block look-up", Unit: "ns", Per: "million blocks"}
@@ -126,8 +126,12 @@
 	request := &Series{Name: "heartbeat, there and back", Unit: "bytes", Per: "shared limit"}
 	roster := &Series{Name: "roster in an answer", Unit: "bytes", Per: "instance"}
 	for _, n := range []int{5, 20, 80} {
-		r := &wire.RenewRequest{Node: instance(1), Sequence: 1 << 30, Holdings: holdings(n), Group: rand.Uint64(), Roster: rand.Uint64()}
-		a := &wire.RenewResponse{Sequence: 1 << 30, Group: r.GetGroup(), Number: 100_000, Roster: r.GetRoster(), Lease: int64(holderLease)}
+		r := &wire.RenewRequest{
+			Node: instance(1), Sequence: 1 << 30, Holdings: holdings(n), Group: rand.Uint64(), Roster: rand.Uint64(),
+		}
+		a := &wire.RenewResponse{
+			Sequence: 1 << 30, Group: r.GetGroup(), Number: 100_000, Roster: r.GetRoster(), Lease: int64(holderLease),
+		}
 		for _, h := range r.GetHoldings() {
 			a.Grants = append(a.Grants, &wire.Grant{Resource: h.GetResource(), Share: 1000})
 		}
