--- a/standin/internal/soaker/checker.go
+++ b/standin/internal/soaker/checker.go
@@ -69,8 +69,7 @@
 		w.nonRepeatable[a.ID] = true
 	}
 	switch a.Status {
-	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout,
-		http.StatusMisdirectedRequest:
+	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
 		w.notRun[a.ID] = a.Status
 	case http.StatusNotFound, http.StatusBadRequest:
 		w.note("%s was denied with %d", a.ID, a.Status)
