--- a/standin/internal/measurer/measurer.go
+++ b/standin/internal/measurer/measurer.go
@@ -30,6 +30,7 @@
 	folderMode  = 0o750
 	timeout     = 20 * time.Second
 
+	// rate is the load for latencies, in requests per second.
 	rate           = 2000
 	runTime        = 10 * time.Second
 	changes        = 200
