--- a/standin/internal/experimenter/policies.go
+++ b/standin/internal/experimenter/policies.go
@@ -177,7 +177,7 @@
 	}
 }
 
-// resize applies the tuner's limit to the admitter, and starts the calls that it admits on this.
+// resize applies the limit of the tuner to the admitter, and starts the calls that it then admits.
 func (in *instance) resize(w *simulation, o *systemPolicy) {
 	if in.limit.Limit() != in.queue.Capacity() {
 		o.admit(w, in, in.queue.SetCapacity(w.now, in.limit.Limit()))
@@ -193,7 +193,7 @@
 	}
 }
 
-// finish releases the place of a call in the admitter, and starts the calls that are admitted in its stead.
+// finish releases the slot of a call in the admitter, and starts the calls that are admitted instead.
 func (o *systemPolicy) finish(w *simulation, in *instance, t *admitter.Ticket) {
 	o.admit(w, in, in.queue.Done(w.now, t))
 	in.resize(w, o)
