--- a/controller/internal/selector/selector.go
+++ b/controller/internal/selector/selector.go
@@ -75,7 +75,7 @@
 	return slices.Concat(g.ready, g.starting)
 }
 
-// truncate returns maxAnswers instances at most, starting at a place in the list that differs between clients. If all
+// truncate returns maxInstances instances at most, starting at a place in the list that differs between clients. If all
 // clients got the start of the list, the instances there would carry all load while the others are idle.
 func truncate(client netip.Addr, list []netip.AddrPort) []netip.AddrPort {
 	if len(list) <= maxInstances {
