--- a/models/claims.pml
+++ b/models/claims.pml
@@ -1,13 +1,13 @@
-/* Claims of one request that must not repeat, tried through two entry instances.
+/* Claims of one request that must not be repeated, sent through two entry instances.
  *
- * Steps and the code they stand for:
- *   Claim    claimer/claimer.go Claim, grant, repeat; entry forwarder/once.go carryOnce
- *   Send     forwarder/attempt.go attempt (the instance may freeze for any time before it)
+ * Steps and the code that they model:
+ *   Claim    claimer/claimer.go Claim, grant, resolveRepeat; entry forwarder/once.go forwardOnce
+ *   Send     forwarder/attempt.go attempt (the instance may be suspended for any time before it)
  *   Settle   claimer/claimer.go Settle, settle
- *   Forget   claimer/claimer.go forget, with the refusal of keys that old
+ *   Forget   claimer/claimer.go evictExpired, with the refusal of keys of that age
  *
- * Property: the request runs at most once (runs <= 1), and whoever is told that it was not run is right.
- * Mutants: REGRANT grants a claim anew after a timeout; FORGETOPEN forgets without refusing old keys.
+ * Property: the request runs at most once (runs <= 1), and a result "not run" is always correct.
+ * Mutants: REGRANT grants a claim again after a time-out; FORGETOPEN evicts claims without refusing old keys.
  */
 #define E 2
 #define FREE 0
@@ -18,7 +18,7 @@
 byte state = FREE;
 byte holder = 9;
 byte runs = 0;
-bool old = false;          /* the key is past the retention */
+bool old = false;          /* the key is older than the retention period */
 byte tries[E];
 
 active [E] proctype Entry() {
@@ -47,13 +47,13 @@
      if
      :: granted ->
         if
-        :: runs++; assert(runs <= 1);           /* Send: it ran, and one of three things is known of it */
+        :: runs++; assert(runs <= 1);           /* Send: it ran, with one of three results for the claim */
            if
            :: d_step { state == PROGRESS && holder == me -> state = DONE }
            :: d_step { state == PROGRESS && holder == me -> state = UNKNOWN }
-           :: skip                              /* the instance dies; the claim stays in progress */
+           :: skip                              /* the instance crashes; the claim stays in progress */
            fi
-        :: d_step {                             /* nothing was sent: told not run, and the key is free */
+        :: d_step {                             /* nothing was sent: settled as not run, the key is free */
              if
              :: state == PROGRESS && holder == me -> state = FREE; holder = 9
              :: else -> skip
--- a/models/grants.pml
+++ b/models/grants.pml
@@ -1,15 +1,15 @@
-/* Leased shares of one limit between two holders, under two leaders that follow each other.
+/* Leased shares of one limit, granted to two holders by two successive leaders.
  *
- * Time is a counter that any process may let pass. Steps and the code they stand for:
+ * Time is a counter that may advance between any two steps. Steps and the code that they model:
  *   Ask      granter/holder.go Request (starts a round; answers to earlier rounds are ignored)
- *   Answer   granter/granter.go Renew, grant, others
+ *   Answer   granter/granter.go Renew, grant, outstandingExcept
  *   Accept   granter/holder.go Accept (the lease counts from when the request was sent)
- *   Succeed  consenter.noticeRole: a new leader with empty books, after the old one's read lease ended
+ *   Succeed  consenter.handleRoleChange: a new leader without records of grants, after the old one's read lease expired
  *
- * Messages may be lost, late and doubled: a channel slot keeps its message until it is overwritten.
- * Property: the shares in force never add up to more than CAP, checked whenever a share comes into force.
- * Mutants: RAISE gives a share before others gave theirs up; FORGET lets a new leader grant at once;
- * LAPSE takes a renewal although the lease ended since it was asked for (found by this model, 2026-12).
+ * Messages may be lost, delayed and duplicated: a channel slot keeps its message until it is overwritten.
+ * Property: the sum of the shares in force never exceeds CAP, checked whenever a share comes into force.
+ * Mutants: RAISE grants a share before other holders have released theirs; FORGET lets a new leader grant at once;
+ * LAPSE accepts a renewal although the lease has expired since the request (found by this model, 2026-12).
  */
 #define H 2
 #define CAP 1
@@ -21,12 +21,12 @@
 byte until[H];          /* holder: end of its lease */
 byte round[H];          /* holder: latest round */
 byte sent[H];           /* holder: when the latest round was sent */
-bool renewing[H];       /* holder: the latest request reported a share in force */
+bool renewing[H];       /* holder: the lease was valid at the latest request */
 
-byte askround[H]; byte askheld[H]; bool asked[H];          /* request on its way */
-byte ansround[H]; byte ansshare[H]; bool answered[H];      /* answer on its way */
+byte askround[H]; byte askheld[H]; bool asked[H];          /* request in transit */
+byte ansround[H]; byte ansshare[H]; bool answered[H];      /* answer in transit */
 
-byte possible[H];       /* leader's books */
+byte possible[H];       /* leader's records by holder: largest possible share, its expiry, latest round */
 byte expiry[H];
 byte seen[H];
 byte since = 0;
@@ -73,7 +73,7 @@
 active proctype Leader() {
   byte h, o, share;
   do
-  :: atomic { asked[0] || asked[1] ->     /* Answer, with any share that the rules allow */
+  :: atomic { asked[0] || asked[1] ->     /* Answer, with any share that the rules permit */
      if
      :: asked[0] -> h = 0
      :: asked[1] -> h = 1
@@ -85,7 +85,7 @@
      fi;
      d_step {
        if
-       :: askround[h] > seen[h] ->   /* a doubled request is refused: SequenceError */
+       :: askround[h] > seen[h] ->   /* a duplicate request is refused: SequenceError */
           seen[h] = askround[h];
           possible[h] = askheld[h];
           if
--- a/models/replication.pml
+++ b/models/replication.pml
@@ -1,13 +1,13 @@
-/* Replication of the control state with a lost disk and its repair.
+/* Replication of the control state, with loss of a disk and its replacement.
  *
- * Three replicas agree on one value at the only log index of the model. One disk may be wiped, after the
- * repair a second one may be. Steps and the code they stand for:
+ * Three replicas agree on one value at the only log index of the model. One disk may be wiped, and
+ * another one after the first has been repaired. Steps and the code that they model:
  *   Elect    replicator/election.go campaign, handleVote, countVotes, becomeLeader
- *   Write    replicator/replica.go Propose, advanceCommit; replication.go handleAppend, matched
- *   Wipe     a replaced disk: storer.Open on an empty folder, consenter.identify
- *   Repair   replicator/membership.go admit, promote (learner first, vote after it holds the commit)
+ *   Write    replicator/replica.go Propose, advanceCommit; replication.go handleAppend, handleAccepted
+ *   Wipe     a replaced disk: storer.Open on an empty folder, consenter.ensureIdentity
+ *   Repair   replicator/membership.go admit, promote (a learner first, a voter once it holds everything committed)
  *
- * A step is atomic where the code acts on one message or after one sync. Bounds: MAXTERM terms, WIPES wipes.
+ * A step is atomic where the code handles one message or acts after one sync. Bounds: MAXTERM terms, WIPES wipes.
  * Property: once a value is committed, no other value is ever committed (agreed), checked at each commit.
  * Mutant EMPTYVOTE: a wiped replica keeps its identity and votes from its empty disk.
  */
@@ -20,10 +20,10 @@
 #endif
 
 byte term[N];      /* durable: current term */
-byte voted[N];     /* durable: whom it voted for in the term, plus one; 0 is nobody */
-byte value[N];     /* durable: the log entry, 0 when empty */
+byte voted[N];     /* durable: the replica it voted for in the term, plus one; 0 is none */
+byte value[N];     /* durable: the log entry, 0 if there is none */
 byte vterm[N];     /* durable: the term of the log entry */
-bool member[N] = true; /* whether the disk's identity is a voter of the set in force */
+bool member[N] = true; /* whether the disk's identity is a voter in the replica set in force */
 bool lost[N];      /* wiped and not yet repaired */
 byte committed = 0;
 byte wipes = 0;
@@ -33,7 +33,7 @@
   ok = (vterm[c] > vterm[v]) || (vterm[c] == vterm[v] && (value[c] != 0 || value[v] == 0))
 }
 
-/* A candidate asks any set of the others, in one step; a majority of the voters must grant. */
+/* A candidate requests votes from any subset of the others, in one step; a majority of the voters must grant it. */
 inline elect(c) {
   byte granted, v; bool ok; byte t;
   atomic {
@@ -62,7 +62,7 @@
   t = 0
 }
 
-/* A leader of term t puts its entry, or a new value that names the term, on any set of the others. */
+/* A leader of term t writes its entry, or a new value equal to the term, to any subset of the others. */
 inline write(c, t) {
   byte acks, w; byte val;
   if
@@ -99,7 +99,7 @@
   acks = 0; w = 0; val = 0
 }
 
-/* Only one disk may be lost at a time: that is what three replicas are meant to survive. */
+/* Only one disk may be lost at a time, since three replicas tolerate one loss. */
 inline wipe(r) {
   d_step {
     if
@@ -115,15 +115,15 @@
   }
 }
 
-/* A member that holds the newest committed state, as the leader, hands it to the new disk durably, and
- * the set that admits it is accepted by both remaining voters. */
+/* A member that holds the newest committed state, such as the leader, copies it durably to the new disk, and both
+ * remaining voters accept the replica set that admits the disk. */
 inline repair(r) {
   byte a, b;
   d_step {
     a = (r + 1) % N; b = (r + 2) % N;
     if
     :: lost[r] && member[a] && member[b] ->
-       /* both remaining voters take part, so the newer of their entries is the one to copy */
+       /* both remaining voters take part, so the newer of their entries is copied */
        if
        :: vterm[a] >= vterm[b] -> value[r] = value[a]; vterm[r] = vterm[a]
        :: else -> value[r] = value[b]; vterm[r] = vterm[b]
