--- a/Makefile
+++ b/Makefile
@@ -17,7 +17,7 @@
 	@go vet $(addsuffix /...,$(addprefix ./,$(MODULES)))
 	@go test -count=1 $(if $(RED),-skip '$(RED)') $(addsuffix /...,$(addprefix ./,$(MODULES)))
 
-# Runs only the tests named in RED, as Go writes their names: make red RED='TestOne/case|TestTwo'.
+# Runs only the tests that match RED, a pattern for the -run flag of go test: make red RED='TestOne/case|TestTwo'.
 red:
 	@go test -count=1 -run '$(RED)' $(addsuffix /...,$(addprefix ./,$(MODULES)))
 
@@ -39,7 +39,7 @@
 	@out=$$($(TOOLS)/gofumpt -l $(MODULES)); if [ -n "$$out" ]; then echo "not formatted:"; echo "$$out"; exit 1; fi
 	@for m in $(MODULES); do (cd $$m && $(TOOLS)/golangci-lint run --config ../.golangci.yml ./...) || exit 1; done
 
-# Needs protoc, protoc-gen-go 1.36.12 and protoc-gen-connect-go 1.21.1; the generated code is committed.
+# Requires protoc, protoc-gen-go 1.36.12 and protoc-gen-connect-go 1.21.1; the generated code is committed.
 generate:
 	cd core && protoc --go_out=. --go_opt=module=chervilrail.example/core \
 		--connect-go_out=. --connect-go_opt=module=chervilrail.example/core wire/wire.proto
@@ -47,25 +47,25 @@
 clean:
 	rm -rf bin .run
 
-# Needs spin (Debian package spin) and gcc.
+# Requires spin (Debian package spin) and gcc.
 .PHONY: model soak slopes measure
 model:
 	@models/check
 
-# A longer run of the random schedules and of the kills than make test does.
+# Runs more random schedules and more process kills than make test.
 soak: build
 	@cd core && go test -count=1 -timeout 60m ./replicator ./granter ./claimer -run 'TestSchedules|TestSharesStay|TestAtMostOnce' -rapid.checks=100000 -v
 	@cd standin && CHERVILRAIL_ROUNDS=50 go test -count=1 -timeout 30m ./internal/trials -run TestKilled -v
 
-# Measures the slopes of docs/CAPACITY.md.
+# Measures the slopes in docs/CAPACITY.md.
 slopes: build
 	@./bin/standin slopes
 
-# Measures the figures of docs/MEASUREMENTS.md on a local system.
+# Measures the figures in docs/MEASUREMENTS.md on a local system.
 measure: build
 	@./bin/standin measure --programs bin --catalogue examples/steppe.ini --folder .run/measure
 
-# Runs the real programs under faults drawn from a seed: make faults SEED=7 RUNS=5.
+# Runs the real programs with faults injected at random from a seed: make faults SEED=7 RUNS=5.
 .PHONY: faults
 faults: build
 	@./bin/standin soak --seed $(or $(SEED),1) --runs $(or $(RUNS),5)
