--- a/core/wire/wireconnect/wire.connect.go
+++ b/core/wire/wireconnect/wire.connect.go
@@ -2,7 +2,7 @@
 //
 // Source: wire/wire.proto
 
-// Messages between the processes of chervilrail and the records they keep.
+// Package wire defines the messages between the processes of chervilrail and the records they store.
 package wireconnect
 
 import (
